--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Arrive takes a new request under the given index.
+// Arrive reports a new client request, which the caller identifies by the given index from now on.
 func (b *Balancer) Arrive(now Time, index int, e Request) []Decision {
 	b.begin(now)
 	for len(b.requests) <= index {
@@ -27,7 +27,7 @@
 	request, endpoint := &b.requests[a.Request], &b.endpoints[a.Endpoint]
 	b.recordEnded(request, endpoint)
 	if request.inFlight == 1 && a.Endpoint == request.endpoint {
-		request.resumePreviousAttempt() // the hedged attempt has ended, and the first one goes on
+		request.resumePreviousAttempt() // the hedged attempt has ended; the first one is still in flight
 	}
 	b.learn(request, endpoint, a)
 	if a.Outcome.mayHaveRun() && !request.mayHaveRun {
@@ -50,7 +50,8 @@
 	return b.settle()
 }
 
-// sendAttempt sends the current request to an endpoint, with a timeout of the time that is worth waiting.
+// sendAttempt sends the current request to an endpoint. The attempt times out when a response is no longer useful, and
+// a tick before the request's deadline at the latest, but not in less than a tick.
 func (b *Balancer) sendAttempt(to int, reason Reason) {
 	request := b.current
 	b.recordSent(request, to)
@@ -59,7 +60,8 @@
 	b.awaitAttempt()
 }
 
-// reject answers at once: with a rejection where trying again is harmless, else with an error.
+// reject ends the current request without a response: with a rejection if a retry by the client is harmless, otherwise
+// with an error. It cancels the attempts in flight if the settings allow that.
 func (b *Balancer) reject(reason Reason) {
 	request := b.current
 	route := &b.routes[request.Route]
@@ -76,7 +78,8 @@
 	b.releaseCurrent()
 }
 
-// retryAfter spreads the clients that come back over the later half of what they heed.
+// retryAfter returns a random Retry-After between half of maxRetryAfter and all of it, so that the retries of rejected
+// clients are spread over time. It returns 0 if no Retry-After is sent.
 func (b *Balancer) retryAfter() Time {
 	if b.maxRetryAfter == 0 {
 		return 0
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -1,30 +1,30 @@
 package balancer
 
-// config holds the settings in the form that decisions use. Only quotaShare changes after New.
+// config holds the settings in the form in which decisions use them. Only quotaShare changes after New.
 type config struct {
-	quotaShare              float64 // part of all proxies' traffic that this proxy may send, 1/proxies at first
+	quotaShare              float64 // fraction of all proxies' traffic that this proxy may send, 1/proxies initially
 	cacheAside              bool
 	mayCancel               bool
 	hedging                 bool // two attempts of a request may be in flight at once
 	maxAttempts             int
-	maxRetryAfter           Time // longest Retry-After, 0: none is sent
+	maxRetryAfter           Time // longest Retry-After; 0: none is sent
 	tick                    Time // resolution of timeouts
-	noResponseTimeout       Time // silence after which an endpoint is taken for an outlier
+	noResponseTimeout       Time // time without a response after which an endpoint may be ejected as an outlier
 	slowStart               slowStartConfig
 	self                    int // number of this proxy among the peers
-	peerCount               int // other proxies that can be notified
+	peerCount               int // number of other proxies that can be notified
 	pollsList               bool
 	pollInterval            Time
 	approximateWeights      bool
-	overloadedOwnerFraction float64 // part of a request's remaining time that the answer of an overloaded owner takes
+	overloadedOwnerFraction float64 // fraction of a request's remaining time above which its owner's latency is too high
 }
 
-// slowStartConfig says how an endpoint that just started is loaded.
+// slowStartConfig determines the load on an endpoint in slow start.
 type slowStartConfig struct {
 	period           Time
-	initialFraction  float64 // share of the full load at the start, growing evenly to 1
-	overloadMultiple float64 // multiple of its capacity that brings down an endpoint in slow start
-	overloadWindow   Time    // the span over which that load is counted
+	initialFraction  float64 // fraction of the full load at the beginning; it grows linearly to 1
+	overloadMultiple float64 // multiple of its capacity at which an endpoint in slow start fails
+	overloadWindow   Time    // window over which that load is measured
 }
 
 func newConfig(settings *Settings, tick, objective Time, quotaShare float64) config {
@@ -53,7 +53,7 @@
 	return c
 }
 
-// shortestObjective is that of all routes, a minute at most.
+// shortestObjective returns the shortest latency objective of all routes, a minute at most.
 func shortestObjective(routes []Route) Time {
 	shortest := 60 * second
 	for i := range routes {
--- a/balancer/current.go
+++ b/balancer/current.go
@@ -1,6 +1,7 @@
 package balancer
 
-// isSettled holds for a request that is answered, or whose answer has begun and comes by its own attempt.
+// isSettled reports whether no decision on the current request is left: it has its final reply, or its response is
+// being streamed and ends with the attempt.
 func (b *Balancer) isSettled() bool { return !b.current.live || b.current.streaming }
 
 func (b *Balancer) isInFlight() bool { return b.current.inFlight > 0 }
--- a/balancer/instance.go
+++ b/balancer/instance.go
@@ -2,26 +2,26 @@
 
 import "math"
 
-// Balancer decides for one proxy. New returns one; it is not safe for concurrent use.
+// Balancer makes the decisions of one proxy. It is created by New and not safe for concurrent use.
 type Balancer struct {
 	config
 	routes []routeState
 	random generator
 
-	// now is the clock of the event being handled, decisions what it has led to so far.
+	// now is the time of the event being handled; decisions are those made on it so far.
 	now       Time
 	decisions []Decision
 
 	requests  []requestState
 	endpoints []endpointState
-	visitMark int   // stamp of the latest walk over endpoints
+	visitMark int   // mark of the latest walk over endpoints
 	origins   []int // ready origins
 	ring      ring
 
 	pending      []int // requests to decide on, emptied by each call
 	current      *requestState
 	currentIndex int
-	candidate    int // endpoint chosen for the current request, notSearched or noEndpoint
+	candidate    int // endpoint selected for the current request, notSearched or noEndpoint
 
 	deadlines   deadlineHeap
 	originQueue requestQueue
@@ -32,14 +32,14 @@
 	quota       tenantQuota
 	retryBudget retryBudget
 
-	wakeAt Time // when the caller will report the timer
-	pollAt Time // when the endpoint list is polled again
+	wakeAt Time // time for which the timer is set
+	pollAt Time // time of the next poll of the endpoint list
 }
 
-// never is an instant that does not come.
+// never is a time that is never reached.
 const never = Time(math.MaxInt64)
 
-// New returns a balancer that knows no endpoints yet. The seed determines all of its random choices.
+// New returns a balancer without endpoints. The seed determines all of its random choices.
 func New(now Time, settings Settings, seed uint64) *Balancer {
 	quotaShare := 1 / float64(max(settings.Proxies, 1))
 	tick := max(settings.Tick, 1)
--- a/balancer/route.go
+++ b/balancer/route.go
@@ -1,11 +1,11 @@
 package balancer
 
-// routeState is a route with the figures derived from it.
+// routeState is a route with the values derived from it.
 type routeState struct {
 	Route
-	giveUpAfter         Time    // how long an answer is worth waiting for
-	latencyBudget       Time    // how long an answer has its whole value
-	priorityWeight      float64 // value as a part of the most valuable route's
-	firstAttemptTimeout Time    // what clients give a first attempt, by majority
-	timeoutVotes        int     // for firstAttemptTimeout, maxTimeoutVotes at most
+	giveUpAfter         Time    // time after which a response has no value
+	latencyBudget       Time    // time within which a response has its full value
+	priorityWeight      float64 // value as a fraction of the highest value of all routes
+	firstAttemptTimeout Time    // remaining timeout with which most first attempts by clients arrive
+	timeoutVotes        int     // votes for firstAttemptTimeout, at most maxTimeoutVotes
 }
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -1,29 +1,29 @@
 package balancer
 
-// Time counts tenths of a millisecond on the caller's clock. Both instants and spans are counted in it.
+// Time is an instant on the caller's clock or a duration, in tenths of a millisecond.
 type Time int64
 
-// Effect says what happens when an upstream carries out a request that it had already carried out.
+// Effect is the effect of executing a request of a route more than once.
 type Effect uint8
 
 const (
-	// Retriable requests may be carried out any number of times.
+	// Retriable requests may be executed any number of times.
 	Retriable Effect = iota
-	// Deduped requests are carried out once by the endpoints of one Group within the route's DedupWindow.
+	// Deduped requests are executed once by the endpoints of one Group within the route's DedupWindow.
 	Deduped
-	// NonRetriable requests may be sent again only if no attempt can have run.
+	// NonRetriable requests may be sent again only if no attempt can have been executed.
 	NonRetriable
 )
 
-// Group names the endpoints that drop each other's duplicates of a Deduped request.
+// Group is the set of endpoints that drop each other's duplicates of a Deduped request.
 type Group uint8
 
 const (
-	// GroupAll is every endpoint.
+	// GroupAll contains all endpoints.
 	GroupAll Group = iota
-	// GroupZone is the endpoints of one zone.
+	// GroupZone contains the endpoints of one zone.
 	GroupZone
-	// GroupCell is the endpoints of one cell.
+	// GroupCell contains the endpoints of one cell.
 	GroupCell
 )
 
@@ -31,90 +31,90 @@
 type Route struct {
 	Objective   Time    // latency objective
 	Timeout     Time    // overall timeout
-	Value       float64 // what an answer within the objective is worth
-	LateValue   float64 // part of Value that a later answer earns, 0 to 1
+	Value       float64 // value of a response within the objective
+	LateValue   float64 // fraction of Value that a later response has, 0 to 1
 	Effect      Effect
 	Group       Group // Deduped: the endpoints that drop each other's duplicates
-	DedupWindow Time  // Deduped: how long they drop them after the first attempt
+	DedupWindow Time  // Deduped: time after the first attempt within which duplicates are dropped
 }
 
-// Settings are the settings of a balancer. New derives its own figures from them and keeps none of them.
+// Settings holds the settings of a balancer. New derives its own values from them and keeps no reference to them.
 type Settings struct {
-	Proxies                   int // proxies that share the endpoints, this one included
+	Proxies                   int // number of proxies that share the endpoints, including this one
 	Self                      int // number of this proxy among the peers
-	PeerCount                 int // other proxies that can be notified, 0: none
+	PeerCount                 int // number of other proxies that can be notified
 	Routes                    []Route
-	TenantQuotas              []float64 // quota by tenant: requests per second, over all proxies together
+	TenantQuotas              []float64 // quota by tenant: requests per second, summed over all proxies
 	OverQuotaWeight           float64   // factor on the priority weight of requests over quota
-	LateIsFailure             bool      // answers past the objective count as failures, rejections within it do not
-	CacheAside                bool      // cache-aside: a cache reports a miss, and the proxy asks the origin
-	ParallelAttempts          bool      // two attempts of a request may be in flight, so that reads may be hedged
-	MayCancel                 bool      // attempts in flight may be cancelled
-	MaxAttempts               int       // attempts per request
+	LateIsFailure             bool      // responses after the objective count as failures, rejections within it do not
+	CacheAside                bool      // cache-aside: caches report misses, and the proxy fetches from the origin
+	ParallelAttempts          bool      // a request may have two attempts in flight, which permits hedging of reads
+	MayCancel                 bool      // attempts in flight may be canceled
+	MaxAttempts               int       // maximum number of attempts per request
 	RetryAfter                bool      // rejections carry a Retry-After
-	MaxRetryAfter             Time      // the longest that clients heed
+	MaxRetryAfter             Time      // longest Retry-After that clients respect
 	Tick                      Time      // resolution of timeouts
-	ConnectTimeout            Time      // of the upstream connections; not used for decisions
+	ConnectTimeout            Time      // timeout for opening upstream connections; not used for decisions
 	PollsList                 bool      // the endpoint list is polled, not pushed
-	PollInterval              Time      // interval of polling
-	SlowStart                 Time      // how long slow start takes
-	SlowStartInitialFraction  float64   // share of the full load at the start of slow start
-	SlowStartOverloadWindow   Time      // window over which the load in slow start is counted
-	SlowStartOverloadMultiple float64   // multiple of its capacity that brings down an endpoint in slow start
-	ApproximateWeights        bool      // the number of ring points follows the weights, which are approximate
-	FetchCost                 float64   // cost of a fetch from the origin, in values of a request
+	PollInterval              Time      // polling interval of the endpoint list
+	SlowStart                 Time      // duration of slow start
+	SlowStartInitialFraction  float64   // fraction of the full load at the beginning of slow start
+	SlowStartOverloadWindow   Time      // window over which the load in slow start is measured
+	SlowStartOverloadMultiple float64   // multiple of its capacity at which an endpoint in slow start fails
+	ApproximateWeights        bool      // endpoint weights are approximate; the numbers of ring points follow them
+	FetchCost                 float64   // cost of a fetch from the origin, in units of the value of a request
 }
 
 // Endpoint is one endpoint of the endpoint list.
 type Endpoint struct {
-	Index     int    // index; assigned anew once its endpoint has been gone for longer than any request lives
-	Name      string // hashed on to the ring, otherwise not interpreted
+	Index     int    // index; reused only after its last endpoint has been gone for longer than any request lives
+	Name      string // determines the ring points, otherwise not interpreted
 	Origin    bool
 	Ready     bool // neither draining nor gone
-	StartedAt Time // when it last started; 0: long ago or not known
+	StartedAt Time // when it last started; 0: long ago or unknown
 	Weight    float64
 	Zone      int
 	Cell      int
 }
 
-// EndpointUpdate is the endpoint list, or what has changed of it.
+// EndpointUpdate is the complete endpoint list or a change to it.
 type EndpointUpdate struct {
-	Complete  bool // endpoints that it does not name are gone
-	First     bool // it is the first list, which is complete: none of its endpoints has just started
+	Complete  bool // the list is complete: endpoints that it does not contain are gone
+	First     bool // the first list, which is complete; none of its endpoints counts as newly started
 	Endpoints []Endpoint
 }
 
-// Request is a client request as it arrives.
+// Request is a client request on arrival.
 type Request struct {
 	Route, Tenant    int // Tenant -1: none
 	Key              uint64
-	HasKey           bool // Key is set; a request without a key goes to any cache
+	HasKey           bool // Key is set; a request without a key may go to any cache
 	Write            bool
-	RemainingTimeout Time // what is left of the client's timeout
-	ClientRetry      bool // the client marks it as a retry of its own
+	RemainingTimeout Time // time until the client's timeout
+	ClientRetry      bool // the client marks the request as its own retry
 }
 
 // Outcome is the outcome of an upstream attempt or of a health check probe.
 type Outcome uint8
 
 const (
-	// Completed attempts brought an answer.
+	// Completed attempts received a complete response.
 	Completed Outcome = iota
-	// ServerError is a server error.
+	// ServerError means that the endpoint responded with a server error.
 	ServerError
-	// Overloaded means that the endpoint was overloaded and did not run the request.
+	// Overloaded means that the endpoint was overloaded and did not execute the request.
 	Overloaded
-	// TimedOut attempts timed out without an answer.
+	// TimedOut attempts received no response before their timeout.
 	TimedOut
-	// ConnectFailed means that connecting failed.
+	// ConnectFailed means that no connection to the endpoint could be opened.
 	ConnectFailed
 	// Reset means that the connection was reset.
 	Reset
-	// Cancelled attempts were cancelled by the proxy.
+	// Cancelled attempts were canceled by the proxy.
 	Cancelled
 	// NotSent means that the request did not leave the proxy.
 	NotSent
-	// CacheMiss is a cache miss: the cache does not hold the key.
+	// CacheMiss means that the cache does not hold the key.
 	CacheMiss
 )
 
@@ -123,10 +123,10 @@
 	Request, Endpoint int // indices of the request and of the endpoint
 	Outcome           Outcome
 	Latency           Time // since the attempt was sent
-	Answered          bool // the request has its final answer by it, or had it before
+	Answered          bool // the request has its final reply, through this attempt or from earlier
 }
 
-// Action names what a Decision asks the caller to do.
+// Action is the operation that a Decision requests from the caller.
 type Action uint8
 
 const (
@@ -134,29 +134,29 @@
 	Send Action = iota
 	// Cancel cancels an attempt in flight.
 	Cancel
-	// Shed rejects the request; the client may safely try again.
+	// Shed rejects the request; a retry by the client is safe.
 	Shed
-	// Error fails the request, which may have been carried out.
+	// Error fails the request, which may have been executed.
 	Error
-	// SetTimer sets the one timer, in place of the one set before, if any.
+	// SetTimer sets the only timer, which replaces the previous one.
 	SetTimer
 	// PollEndpoints polls the endpoint list.
 	PollEndpoints
-	// NotifyPeer notifies a peer that an endpoint stopped responding or responds again.
+	// NotifyPeer notifies a peer that an endpoint has stopped responding or responds again.
 	NotifyPeer
 	// Log writes a line to the log.
 	Log
 )
 
-// Decision is one thing for the caller to do. Which fields are set depends on Action.
+// Decision is one operation for the caller to carry out. Action determines which of the other fields are set.
 type Decision struct {
 	Action   Action
 	Request  int    // Send, Cancel, Shed, Error: index of the request
 	Endpoint int    // Send, NotifyPeer: index of the endpoint
-	Attempt  int    // Cancel: number of the attempt, the first is 0
-	After    Time   // Send: timeout of the attempt; Shed: Retry-After, 0 is none; SetTimer: from now
+	Attempt  int    // Cancel: number of the attempt, from 0
+	After    Time   // Send: timeout of the attempt; Shed: Retry-After, 0: none; SetTimer: delay from now
 	Peer     int    // NotifyPeer: number of the peer
 	Text     string // Log
-	Responds bool   // NotifyPeer: the endpoint responds again, otherwise it stopped responding
+	Responds bool   // NotifyPeer: the endpoint responds again; otherwise it has stopped responding
 	Reason   Reason // Send, Shed, Error
 }
