--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -1,27 +1,27 @@
 package balancer
 
-// finishedAttempt is the end of an attempt with what is learnt from it.
+// finishedAttempt is a finished attempt with the observations derived from its outcome.
 type finishedAttempt struct {
 	AttemptResult
 	request   *requestState
 	endpoint  *endpointState
 	responded bool // the endpoint sent a response of any kind
-	late      bool // of the latency objective
-	// failedProbe: an ejected endpoint did not answer. That says nothing of the load on the others.
+	late      bool // missed the latency objective
+	// failedProbe means that an ejected endpoint did not respond, which is no sign of load on the others.
 	failedProbe bool
 }
 
-// mayHaveRun tells whether an endpoint may have carried out the request.
+// mayHaveRun reports whether the endpoint may have executed the request.
 func (e Outcome) mayHaveRun() bool {
 	return e != Overloaded && e != ConnectFailed && e != NotSent && e != CacheMiss
 }
 
-// isResponse tells whether the endpoint responded at all.
+// isResponse reports whether the endpoint sent a response of any kind.
 func (e Outcome) isResponse() bool {
 	return e == Completed || e == CacheMiss || e == ServerError || e == Overloaded
 }
 
-// recordSent counts an attempt that was sent.
+// recordSent records that an attempt was sent.
 func (b *Balancer) recordSent(request *requestState, to int) {
 	endpoint := &b.endpoints[to]
 	if endpoint.inFlight == 0 {
@@ -38,14 +38,15 @@
 	endpoint.delayNextProbe(b.now)
 }
 
-// recordEnded counts an attempt that is no longer in flight.
+// recordEnded records that an attempt is no longer in flight.
 func (b *Balancer) recordEnded(request *requestState, endpoint *endpointState) {
 	request.inFlight--
 	endpoint.inFlight--
 	*b.inFlightAt(endpoint)--
 }
 
-// inFlightAt is the counter of this proxy's attempts in flight that an endpoint belongs to.
+// inFlightAt returns the counter of this proxy's attempts in flight at caches or at the origin, depending on the kind
+// of the endpoint.
 func (b *Balancer) inFlightAt(endpoint *endpointState) *int {
 	if endpoint.Origin {
 		return &b.origin.inFlight
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -8,7 +8,7 @@
 // begin starts the handling of an event.
 func (b *Balancer) begin(now Time) { b.now, b.decisions = now, b.decisions[:0] }
 
-// settle applies rules until none matches and returns the decisions of the event.
+// settle applies rules until none matches and returns the decisions on the event.
 func (b *Balancer) settle() []Decision {
 	for b.applyFirstRule() {
 	}
@@ -31,7 +31,7 @@
 	return false
 }
 
-// scheduleWake asks for a wake-up, unless one is under way that comes early enough.
+// scheduleWake sets the timer unless it already fires early enough.
 func (b *Balancer) scheduleWake() {
 	next := b.pollAt
 	if len(b.deadlines.entries) > 0 {
@@ -56,7 +56,7 @@
 	b.current, b.currentIndex, b.candidate = &b.requests[index], index, notSearched
 }
 
-// releaseCurrent ends the deciding on the current request until the next event that concerns it.
+// releaseCurrent ends the decisions on the current request until the next event that concerns it.
 func (b *Balancer) releaseCurrent() { b.current = nil }
 
 func (b *Balancer) hasPending() bool { return len(b.pending) > 0 }
@@ -85,8 +85,8 @@
 	b.setCurrent(index)
 }
 
-// rule is one line of the decision logic. The first one of the stage whose predicate holds is applied, until
-// none does. Predicates change nothing that is decided; the order of the rules matters.
+// rule is one rule of the decision logic. The first rule of the current stage whose predicate matches is applied, and
+// this is repeated until none matches. Predicates do not change decisions; the order of the rules matters.
 type rule struct {
 	stage   stage
 	matches func(b *Balancer) bool
@@ -96,6 +96,6 @@
 type stage uint8
 
 const (
-	selecting stage = iota // there is no current request: choose one
+	selecting stage = iota // no request is selected: select the next one
 	deciding               // decide on the current request
 )
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,6 +1,7 @@
 package balancer
 
-// AnswerStarted reports that the answer has begun. From then on the request succeeds or fails with that attempt.
+// AnswerStarted reports that the reply to a request has begun. From then on the request succeeds or fails with the
+// attempt that delivers it.
 func (b *Balancer) AnswerStarted(now Time, index int) []Decision {
 	b.begin(now)
 	if index < len(b.requests) && b.requests[index].live {
@@ -10,7 +11,7 @@
 	return b.settle()
 }
 
-// ClientGone reports that the client went away; nothing is owed to it any more.
+// ClientGone reports that the client has disconnected and needs no reply any more.
 func (b *Balancer) ClientGone(now Time, index int) []Decision {
 	b.begin(now)
 	if index < len(b.requests) && b.requests[index].live {
@@ -19,14 +20,14 @@
 	return b.settle()
 }
 
-// TimerFired reports that the time has come for which a decision asked.
+// TimerFired reports that the timer of the latest SetTimer decision has fired.
 func (b *Balancer) TimerFired(now Time) []Decision {
 	b.begin(now)
 	b.wakeAt = never
 	return b.settle()
 }
 
-// UpdateEndpoints takes the endpoint list or a change of it.
+// UpdateEndpoints applies the endpoint list or a change to it.
 func (b *Balancer) UpdateEndpoints(now Time, update EndpointUpdate) []Decision {
 	b.begin(now)
 	var changed []int
@@ -44,7 +45,7 @@
 	return b.settle()
 }
 
-// removeUnlisted takes endpoints that are not listed any more off the ring, and returns which.
+// removeUnlisted marks endpoints that are not listed as not ready and returns their indices.
 func (b *Balancer) removeUnlisted(listed []Endpoint) (removed []int) {
 	b.visitMark++
 	for i := range listed {
@@ -61,9 +62,9 @@
 	return removed
 }
 
-// SetQuotaShare sets the part of all proxies' traffic that this proxy may send from now on, in (0, 1]; it begins as
-// an even one. What has been learnt of the origin's limit is scaled with it, so that the sum over proxies
-// stays.
+// SetQuotaShare sets the fraction of all proxies' traffic that this proxy may send, in (0, 1]; initially it is the same
+// for all proxies. The adapted concurrency limit at the origin is scaled with it, so that the sum over all proxies does
+// not change.
 func (b *Balancer) SetQuotaShare(now Time, part float64) []Decision {
 	b.begin(now)
 	factor := part / b.quotaShare
@@ -75,7 +76,7 @@
 	return b.settle()
 }
 
-// CapDeadlines moves all deadlines to the given time at the latest, since the process stops then.
+// CapDeadlines limits all deadlines to the given time, at which the process stops.
 func (b *Balancer) CapDeadlines(now, until Time) []Decision {
 	b.begin(now)
 	for i := range b.requests {
--- a/balancer/reason.go
+++ b/balancer/reason.go
@@ -1,38 +1,39 @@
 package balancer
 
-// Reason is why an attempt is sent or a request rejected. Its text is the same in logs and metrics.
+// Reason is why an attempt is sent or a request is rejected. Logs and metrics use the same text for it.
 type Reason uint8
 
 // Reasons of decisions.
 const (
-	// ReasonNone stands with decisions that have no reason of their own.
+	// ReasonNone is the reason of decisions that need none.
 	ReasonNone Reason = iota
 	// ReasonFirst is a request's first attempt.
 	ReasonFirst
-	// ReasonCacheMiss is an attempt at the origin for what a cache lacks.
+	// ReasonCacheMiss is an attempt at the origin after a cache miss.
 	ReasonCacheMiss
-	// ReasonRetry is an attempt after one that failed.
+	// ReasonRetry is an attempt after a failed one.
 	ReasonRetry
-	// ReasonHedge is an attempt beside one that is late.
+	// ReasonHedge is a second attempt in parallel with a late one.
 	ReasonHedge
-	// ReasonDeadline rejects a request whose answer would come too late.
+	// ReasonDeadline rejects a request whose response would be too late.
 	ReasonDeadline
-	// ReasonAttemptsExhausted rejects a request that has had as many attempts as it may.
+	// ReasonAttemptsExhausted rejects a request that has used its maximum number of attempts.
 	ReasonAttemptsExhausted
-	// ReasonRetryForbidden rejects a request that may have run and may not be sent again, or not by the budget.
+	// ReasonRetryForbidden rejects a request that may have been executed and must not be retried, or for which the retry
+	// budget is exhausted.
 	ReasonRetryForbidden
-	// ReasonOverload rejects a request because the caches have too much to do.
+	// ReasonOverload rejects a request because the caches are overloaded.
 	ReasonOverload
-	// ReasonNoOrigin rejects a request because there is no origin for it.
+	// ReasonNoOrigin rejects a request because no origin may serve it.
 	ReasonNoOrigin
 	// ReasonOriginQueue rejects a request that would wait too long for the origin.
 	ReasonOriginQueue
-	// ReasonNoEndpoint rejects a request that no endpoint may be sent.
+	// ReasonNoEndpoint rejects a request that may be sent to no endpoint.
 	ReasonNoEndpoint
 	numReasons
 )
 
-// NumReasons is the number of reasons, ReasonNone included.
+// NumReasons is the number of reasons, including ReasonNone.
 const NumReasons = int(numReasons)
 
 var reasonNames = [numReasons]string{
@@ -50,10 +51,10 @@
 	ReasonNoEndpoint:        "no_endpoint",
 }
 
-// String returns the reason in logs and metrics.
+// String returns the reason as it appears in logs and metrics.
 func (r Reason) String() string { return reasonNames[r%numReasons] }
 
-// attemptReason is why the current request is sent to an endpoint that it has not waited for.
+// attemptReason returns the reason of the next attempt of a request, unless that is a hedged attempt.
 func (r *requestState) attemptReason() Reason {
 	switch {
 	case r.attempts == 0:
@@ -64,7 +65,7 @@
 	return ReasonRetry
 }
 
-// rejectFor returns what rejects the current request for a reason.
+// rejectFor returns a function that rejects the current request for a reason.
 func rejectFor(reason Reason) func(*Balancer) {
 	return func(b *Balancer) { b.reject(reason) }
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -1,46 +1,46 @@
 package balancer
 
-// requestState is one client request while it is unanswered or has attempts in flight. Indices are reused.
+// requestState is the state of one client request until it has its final reply and none of its attempts is in flight.
 type requestState struct {
 	Request
-	live        bool // the client still waits for an answer
-	streaming   bool // the answer has begun
-	unadmitted  bool // admission control has not seen it yet
+	live        bool // the client still waits for a reply
+	streaming   bool // the reply has begun
+	unadmitted  bool // admission control has not decided on it yet
 	rejected    bool // by admission control
-	overQuota   bool // of its tenant
-	deadline    Time // last moment of the final answer
-	giveUpAt    Time // an answer after this is worth nothing
-	objectiveAt Time // an answer after this misses the latency objective
+	overQuota   bool // it exceeds the quota of its tenant
+	deadline    Time // latest time of the final reply
+	giveUpAt    Time // a response after this has no value
+	objectiveAt Time // a response after this misses the latency objective
 	nextCheckAt Time
-	heapIndex   int // in the heap of deadlines, -1: none
+	heapIndex   int // index in deadlineHeap, -1: none
 
 	needsOrigin bool // a cache missed, or it is a write
-	queued      bool // for capacity at the origin
-	leadsFetch  bool // others wait for its fetch
-	following   bool // it waits for another's fetch
-	hasFollowed bool // it has waited once
+	queued      bool // it waits for capacity at the origin
+	leadsFetch  bool // other requests may wait for its fetch
+	following   bool // it waits for another request's fetch
+	hasFollowed bool // it has waited for a fetch before
 
-	attempts         int // sent so far
+	attempts         int // number of attempts sent
 	inFlight         int
-	endpoint         int // of the latest attempt in flight, or that was
+	endpoint         int // endpoint of the latest attempt, in flight or ended
 	attempt          int // number of that attempt
-	previousEndpoint int // of the attempt before it
+	previousEndpoint int // endpoint of the attempt before that
 	sentAt           Time
 	triedEndpoints   []int
 	wasReset         bool // the connection of its latest attempt was reset
 	missed           bool // its latest attempt was a cache miss
-	evacuated        bool // its latest attempt was cancelled since the zone is evacuated
-	mayHaveRun       bool // some attempt may have been carried out
-	firstRunAt       Time // when the first such attempt was sent
-	firstRunEndpoint int
+	evacuated        bool // its latest attempt was canceled because the zone is evacuated
+	mayHaveRun       bool // some attempt may have been executed
+	firstRunAt       Time // time at which the first such attempt was sent
+	firstRunEndpoint int  // endpoint of the first such attempt
 }
 
-// resumePreviousAttempt makes the attempt before the latest one the latest again.
+// resumePreviousAttempt makes the previous attempt the latest one again.
 func (r *requestState) resumePreviousAttempt() {
 	r.endpoint, r.attempt = r.previousEndpoint, r.attempt-1
 }
 
-// finish forgets a request but for its attempts that are still in flight.
+// finish discards the state of a request except for its attempts in flight.
 func (b *Balancer) finish(index int) {
 	request := &b.requests[index]
 	request.live = false
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -1,35 +1,36 @@
 package balancer
 
+// rules is the decision logic, in order of precedence; see rule.
 var rules = []rule{
-	// Choose the request to decide on.
+	// Select the request to decide on.
 	{selecting, (*Balancer).hasPending, (*Balancer).takePending},
 	{selecting, (*Balancer).hasExpiredDeadline, (*Balancer).takeExpired},
 	{selecting, (*Balancer).canServeQueued, (*Balancer).takeQueued},
 	{selecting, (*Balancer).isPollDue, (*Balancer).pollList},
-	// Nothing is owed to the client, or nothing can be done yet.
+	// The request is finished, out of time, or waits for an attempt in flight.
 	{deciding, (*Balancer).isSettled, (*Balancer).releaseCurrent},
 	{deciding, (*Balancer).isPastDeadline, rejectFor(ReasonDeadline)},
 	{deciding, (*Balancer).mustLeaveZone, (*Balancer).cancelForEvacuation},
 	{deciding, (*Balancer).awaitsOutlier, (*Balancer).ejectOutlier},
 	{deciding, (*Balancer).mayHedge, (*Balancer).hedge},
 	{deciding, (*Balancer).isInFlight, (*Balancer).awaitAttempt},
-	// What may not be sent again.
+	// Requests that must not be sent again.
 	{deciding, (*Balancer).attemptsExhausted, rejectFor(ReasonAttemptsExhausted)},
 	{deciding, (*Balancer).retryForbidden, rejectFor(ReasonRetryForbidden)},
-	// Overload: requests are rejected by chance, those of little value more often.
+	// Under overload requests are rejected at random, those with a low priority weight more often.
 	{deciding, (*Balancer).isUnadmitted, (*Balancer).admit},
 	{deciding, (*Balancer).isRejected, rejectFor(ReasonOverload)},
-	// One fetch for a key: others wait for it a while, then ask the cache.
+	// Coalescing: other reads of a key that is being fetched wait for the fetch, then are sent to the cache.
 	{deciding, (*Balancer).mayFollow, (*Balancer).follow},
-	// Misses and writes go to the origin, within its concurrency limit.
+	// Cache misses and writes are sent to the origin, within its concurrency limit.
 	{deciding, (*Balancer).lacksOrigin, rejectFor(ReasonNoOrigin)},
 	{deciding, (*Balancer).originIsOpen, (*Balancer).sendToOrigin},
 	{deciding, (*Balancer).originQueueTooLong, rejectFor(ReasonOriginQueue)},
 	{deciding, (*Balancer).needsOrigin, (*Balancer).enqueueForOrigin},
-	// All else goes to the caches on the ring.
+	// All other requests are sent to the caches on the ring.
 	{deciding, (*Balancer).isNotSearched, (*Balancer).findCandidate},
 	{deciding, (*Balancer).hasCandidate, (*Balancer).sendToCandidate},
-	// Where no cache may have it, since none is on the ring or all just started, the origin serves it.
+	// The origin serves a request for which no cache is available: none is on the ring, or all are in slow start.
 	{deciding, (*Balancer).mayBypassCaches, (*Balancer).bypassCaches},
 	{deciding, func(*Balancer) bool { return true }, rejectFor(ReasonNoEndpoint)},
 }
