--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,19 +1,19 @@
 package balancer
 
 const (
-	initialCapacity     = 8 // attempts in flight per cache, over all proxies
+	initialCapacity     = 8 // attempts in flight per cache, summed over all proxies
 	minCapacity         = 2
-	rejectionThreshold  = 0.9 // part of the capacity in use from which requests are rejected by chance
+	rejectionThreshold  = 0.9 // used fraction of the capacity above which requests are rejected at random
 	rejectionSlope      = 4
-	rejectionWeightSpan = 1.7  // less the priority weight, which is 1 at most
-	overloadEnd         = 0.5  // part of the capacity in use below which the log calls an overload ended
-	minReduction        = 0.02 // of the capacity for one response that signals an overload
+	rejectionWeightSpan = 1.7  // minus the priority weight, which is 1 at most
+	overloadEnd         = 0.5  // used fraction of the capacity below which the end of an overload is logged
+	minReduction        = 0.02 // fraction of the capacity removed by one response that signals overload
 	maxReduction        = 0.3
-	reductionRate       = 0.8 // times the responses in a second
+	reductionRate       = 0.8 // capacityReduction is this divided by the responses per second
 )
 
-// admit rejects the current request by chance under overload. Its priority weight counts its value, and less
-// of it beyond the tenant's quota.
+// admit rejects the current request at random under overload. The probability falls with the priority weight, which
+// follows from the route's value and is reduced for requests over the tenant's quota.
 func (b *Balancer) admit() {
 	request := b.current
 	request.unadmitted = false
@@ -30,23 +30,24 @@
 	}
 }
 
-// increase raises the capacity by a timely response if it is used.
+// increase raises the capacity after a response in time, if more than half of the capacity is in use.
 func (a *admissionControl) increase(inFlight int) {
 	if float64(inFlight) > a.capacity/2 {
 		a.capacity += max(a.capacity*0.002, 0.02)
 	}
 }
 
-// reduceCapacity follows an overload, down to one attempt at each cache over all proxies.
+// reduceCapacity lowers the capacity after an overload signal, but not below one attempt in flight per cache, summed
+// over all proxies.
 func (b *Balancer) reduceCapacity() {
 	used := min(b.admission.capacity, 4*float64(b.caches.inFlight)+8)
 	b.admission.capacity = max(used*(1-b.capacityReduction()), minCapacity, float64(b.ring.caches)*b.quotaShare)
 }
 
-// capacityReduction is the part of the capacity that one response takes: the fewer responses there are, the
-// more each takes, or a burst is over before a proxy of little traffic has reduced any. That holds only
-// where peers notify of silent endpoints: where none do, each proxy encounters every hung endpoint for the
-// first time, and its few responses tell of that.
+// capacityReduction returns the fraction of the capacity that one overload signal removes. The lower the response rate,
+// the larger the fraction; otherwise a burst would be over before a proxy with little traffic reduces its capacity.
+// This applies only if peers send notifications of silent endpoints. Without them each proxy has to detect every hung
+// endpoint itself, and these failures would dominate its few responses.
 func (b *Balancer) capacityReduction() float64 {
 	if b.peerCount == 0 {
 		return minReduction
@@ -54,7 +55,7 @@
 	return min(max(reductionRate/max(b.cacheResponseRate(), 1), minReduction), maxReduction)
 }
 
-// scaleCapacity follows the endpoint list: more caches, more capacity.
+// scaleCapacity changes the capacity in proportion to the number of serving caches.
 func (b *Balancer) scaleCapacity(servingBefore float64) {
 	switch {
 	case b.ring.servingCaches == 0:
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -1,23 +1,23 @@
 package balancer
 
-// admissionControl bounds the attempts in flight at caches.
+// admissionControl limits the attempts in flight at caches.
 type admissionControl struct {
-	capacity   float64 // attempts of this proxy in flight that the caches answer in time
-	overloaded bool    // as last logged
+	capacity   float64 // number of this proxy's attempts in flight to which the caches respond in time
+	overloaded bool    // state that was last logged
 }
 
-// originLimiter adapts the concurrency of this proxy at the origin to how the origin answers.
+// originLimiter adapts the number of this proxy's concurrent attempts at the origin to the origin's latency and errors.
 type originLimiter struct {
-	objective     Time    // the origin's answers should take no longer
-	limit         float64 // attempts in flight; below one, attempts are sent with pauses between them
-	floor         float64
-	lowWater      float64 // half of what the limit begins at
-	lastGoodLimit float64 // the limit when the origin last answered
+	objective     Time    // latency within which the origin should respond
+	limit         float64 // maximum number of attempts in flight; below 1, attempts are separated by pauses
+	floor         float64 // lower bound of limit
+	lowWater      float64 // half of the initial limit
+	lastGoodLimit float64 // limit at the latest completed response of the origin
 	inFlight      int
-	nextAttemptAt Time       // none is sent before
-	reducedAt     Time       // when the limit was last reduced
-	latency       movingMean // of its answers, in units of Time
-	constrained   bool       // the limit is below its low-water mark, as last logged
+	nextAttemptAt Time       // no attempt is sent before
+	reducedAt     Time       // time of the latest reduction of limit
+	latency       movingMean // mean latency of its responses, in units of Time
+	constrained   bool       // whether the limit was last logged as below lowWater
 }
 
 func newOriginLimiter(shortestObjective Time, quotaShare float64) originLimiter {
@@ -27,10 +27,10 @@
 	return o
 }
 
-// tenantQuota counts the requests of each tenant against its rate.
+// tenantQuota counts the requests of each tenant against the tenant's rate.
 type tenantQuota struct {
-	rates           []float64 // by tenant, requests per second of this proxy
-	used            []float64 // by tenant, falls at its rate
+	rates           []float64 // by tenant: requests per second at this proxy
+	used            []float64 // by tenant: requests counted, decreasing at the tenant's rate
 	updatedAt       []Time
 	overQuotaWeight float64 // factor on the priority weight of requests over quota
 }
--- a/balancer/origin.go
+++ b/balancer/origin.go
@@ -1,29 +1,30 @@
 package balancer
 
-// maxOriginLimit bounds the concurrency limit of one proxy at the origin.
+// maxOriginLimit is the upper bound of one proxy's concurrency limit at the origin.
 const maxOriginLimit = 256
 
-// initialOriginLimit is sixteen attempts over all proxies, within one and four of each.
+// initialOriginLimit returns this proxy's part of sixteen attempts over all proxies, at least one and at most four.
 func initialOriginLimit(quotaShare float64) float64 { return min(4, max(16*quotaShare, 1)) }
 
-// setBounds lets the limits of all proxies fall to eight attempts together, but to one each of few proxies.
+// setBounds sets the lower bound of the limit to this proxy's part of eight attempts over all proxies, at most one.
 func (o *originLimiter) setBounds(quotaShare float64) {
 	o.floor, o.lowWater = min(1, 8*quotaShare), initialOriginLimit(quotaShare)/2
 }
 
-// scale follows a change of the quota share by a factor.
+// scale adjusts the limits to a quota share that has changed by a factor.
 func (o *originLimiter) scale(quotaShare, factor float64) {
 	o.setBounds(quotaShare)
 	o.limit = min(max(o.limit*factor, o.floor), maxOriginLimit)
 	o.lastGoodLimit *= factor
 }
 
-// expectedLatency is the mean latency of its answers.
+// expectedLatency returns the mean latency of the origin's responses.
 func (o *originLimiter) expectedLatency() Time { return Time(o.latency.value) }
 
-// observeAnswer takes the latency of an answer into account, a rare one more: with many proxies each asks
-// the origin once in a second or two, and would learn of an overload when it is over. An answer that is not
-// late restores half of the last good limit: what timed out before it was a fault of the way there.
+// observeAnswer records the latency of a response. The weight of a response grows with the time since the previous one:
+// with many proxies each one sends to the origin only once in a second or two, and would otherwise detect an overload
+// when it is over. A response that is not late raises the limit to at least half of the last good limit, since the
+// timeouts before it were caused by the network path to the origin.
 func (o *originLimiter) observeAnswer(now, latency Time) {
 	o.latency.observe(now, float64(latency), 1.0/16, 4*second)
 	if latency <= 2*o.objective {
@@ -31,28 +32,28 @@
 	}
 }
 
-// increase raises the limit if it is used: what was never used was never tried.
+// increase raises the limit if more than half of it is in use. An unused limit has not been tested.
 func (o *originLimiter) increase() {
 	if float64(o.inFlight+1) > o.limit/2 {
 		o.limit = min(o.limit+min(o.limit, 1/o.limit), maxOriginLimit)
 	}
 }
 
-// reduce lowers the limit, once in the time that an answer should take.
+// reduce lowers the limit, once within the origin's latency objective.
 func (o *originLimiter) reduce(now Time) {
 	if now-o.reducedAt <= o.objective {
 		return
 	}
 	factor := 0.7
 	if o.limit <= 1 {
-		factor = 0.4 // with pauses between attempts there are few outcomes to learn from
+		factor = 0.4 // with pauses between attempts there are few outcomes to adapt to
 	}
 	o.limit = max(o.limit*factor, o.floor)
 	o.reducedAt = now
 }
 
-// pace sets the pause after an attempt: of many proxies, one attempt of each at a time is more than a loaded
-// origin answers.
+// pace sets the pause after an attempt if the limit is below one: with many proxies, even one attempt of each at a time
+// exceeds the capacity of a loaded origin.
 func (o *originLimiter) pace(now Time) {
 	if o.limit < 1 {
 		o.nextAttemptAt = now + Time((1/o.limit-1)*float64(o.objective))
@@ -68,7 +69,7 @@
 
 func (b *Balancer) originIsOpen() bool { return b.current.needsOrigin && b.originHasCapacity() }
 
-// originQueueTooLong holds when the current request, queued now, would be answered too late.
+// originQueueTooLong reports whether the response would be too late if the current request were queued now.
 func (b *Balancer) originQueueTooLong() bool {
 	wait := Time((1 + float64(b.originQueue.length)/b.origin.limit) * b.origin.latency.value)
 	return b.current.needsOrigin && max(b.now, b.origin.nextAttemptAt)+wait > b.current.giveUpAt
@@ -87,8 +88,8 @@
 	b.releaseCurrent()
 }
 
-// leastLoadedOrigin is the origin with the fewest of this proxy's attempts in flight, noEndpoint if the
-// current request may be sent to none.
+// leastLoadedOrigin returns the origin with the fewest of this proxy's attempts in flight, or noEndpoint if the current
+// request may not be sent to any.
 func (b *Balancer) leastLoadedOrigin() int {
 	best := noEndpoint
 	for _, index := range b.origins {
@@ -107,7 +108,7 @@
 		return
 	}
 	b.leadFetch()
-	// let it finish: a late answer still fills the cache, and a cancelled attempt would cost the origin as much
+	// keep the attempt until the deadline: a late response still fills the cache, and canceling saves the origin no work
 	b.current.giveUpAt = b.current.deadline - b.tick
 	b.sendAttempt(origin, b.current.attemptReason())
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -1,21 +1,21 @@
 package balancer
 
 const (
-	overloadErrorRate  = 0.1 // share of errors of all caches above which an error is taken for an overload
-	overloadLateRate   = 0.2 // share of late responses of all caches above which a late one is
-	overloadAttempts   = 3   // attempts of a request after which a rejection by a cache is
-	ejectionErrorRate  = 0.4 // share of errors above which a cache may be ejected
-	ejectionErrorRatio = 2   // how much more of its responses have to be errors than of all caches'
+	overloadErrorRate  = 0.1 // error rate of all caches above which an error counts as overload
+	overloadLateRate   = 0.2 // fraction of late responses of all caches above which a late one counts as overload
+	overloadAttempts   = 3   // number of a request's attempts from which on a cache's rejection counts as overload
+	ejectionErrorRate  = 0.4 // error rate above which a cache may be ejected
+	ejectionErrorRatio = 2   // minimum ratio of an ejected cache's error rate to that of all caches
 )
 
-// learn updates what is known of the endpoint, of the caches or the origin, and their limits.
+// learn updates the statistics of the endpoint and of the caches or the origin, and adapts their limits.
 func (b *Balancer) learn(request *requestState, endpoint *endpointState, a AttemptResult) {
 	unanswered := a.Outcome == TimedOut || a.Outcome == Cancelled
 	attempt := finishedAttempt{AttemptResult: a, request: request, endpoint: endpoint}
 	attempt.responded = a.Outcome.isResponse()
 	attempt.failedProbe = unanswered && endpoint.ejected
 	tookLong := a.Latency > b.routes[request.Route].latencyBudget*3/4
-	// an attempt cancelled when its time was up was no less late than one whose own timeout came first
+	// an attempt that was canceled after this time is as late as one that timed out by itself
 	attempt.late = a.Outcome == TimedOut ||
 		tookLong && (a.Outcome == Completed || a.Outcome == CacheMiss || a.Outcome == Cancelled)
 	endpoint.overloads.observe(b.now, indicator(a.Outcome == Overloaded), 1.0/8, 3*second)
@@ -36,7 +36,7 @@
 	}
 }
 
-// learnLoad adapts the origin's limit and the caches' capacity. The first case that holds counts.
+// learnLoad adapts the origin's limit and the caches' capacity. Only the first matching case applies.
 func (b *Balancer) learnLoad(attempt *finishedAttempt) {
 	switch {
 	case attempt.endpoint.Origin && attempt.Outcome == Completed && attempt.Latency <= b.origin.objective:
@@ -44,7 +44,7 @@
 	case attempt.endpoint.Origin && b.isOriginOverload(attempt):
 		b.origin.reduce(b.now)
 	case attempt.endpoint.Origin || attempt.request.needsOrigin || attempt.failedProbe:
-		// no sign that the caches have too much to do
+		// no sign of overload of the caches
 	case attempt.late || attempt.Outcome == ServerError && b.caches.errorRate > overloadErrorRate ||
 		attempt.Outcome == Overloaded && attempt.request.attempts >= overloadAttempts:
 		b.observeEndpointLatency(attempt.endpoint, max(attempt.Latency, b.noResponseTimeout/2), 0.5)
@@ -58,18 +58,20 @@
 	}
 }
 
-// isOriginOverload tells whether an outcome shows that the origin is loaded. One long answer among quick
-// ones comes of the work in it, a write's above all, a missing one among others, of its connection.
+// isOriginOverload reports whether an outcome shows that the origin is overloaded. A single slow response among fast
+// ones is due to the work of that request, especially of a write. A single missing response while others arrive is due
+// to a fault of its connection.
 func (b *Balancer) isOriginOverload(attempt *finishedAttempt) bool {
 	return attempt.Outcome == Overloaded || attempt.Latency > 2*b.origin.objective &&
 		(b.origin.latency.value > float64(b.origin.objective) ||
 			attempt.Outcome != Completed && attempt.endpoint.silentSince <= attempt.request.sentAt)
 }
 
-// isCacheOverload tells whether a late or failed outcome shows too much work for all caches. A few endpoints
-// that are late among quick ones are skipped and show none, but a fifth of all responses does, though mean
-// and lateness drift apart when late attempts end unanswered. Where peers notify of nothing, a fifth may
-// come of resets and hung endpoints that each proxy encounters for itself.
+// isCacheOverload reports whether a late or failed outcome shows an overload of all caches. Late responses of a few
+// endpoints among fast ones do not show that, since requests skip these endpoints. A fraction of late responses above
+// overloadLateRate does. It is checked separately because it may be high while the mean latency is low: late attempts,
+// many of which end without a response, do not enter that mean. Without notifications from peers the late rate is not
+// used, since resets and hung endpoints, which each proxy then has to detect itself, may raise it above the bound.
 func (b *Balancer) isCacheOverload(attempt *finishedAttempt) bool {
 	return attempt.Outcome == Overloaded || attempt.Outcome == ServerError ||
 		attempt.endpoint.latency.value < 2*b.caches.meanLatency ||
@@ -97,8 +99,8 @@
 	}
 }
 
-// learnErrors takes a cache's response into the shares of errors. A cache that fails much of its work, while
-// the others do not, is ejected; one that was ejected and does its work is brought back.
+// learnErrors updates the error rates by a cache's response. A cache that fails many of its requests while the others do
+// not is ejected. An ejected cache that responds without an error is returned to service.
 func (b *Balancer) learnErrors(attempt *finishedAttempt) {
 	if !attempt.responded || attempt.endpoint.Origin {
 		return
@@ -117,7 +119,7 @@
 	}
 }
 
-// learnFailure ejects a cache that does not connect, and for longer one whose probe failed.
+// learnFailure ejects a cache to which no connection can be opened, and extends the ejection of one whose probe failed.
 func (b *Balancer) learnFailure(attempt *finishedAttempt) {
 	endpoint := attempt.endpoint
 	probeFailed := attempt.failedProbe && b.now >= endpoint.probeAt &&
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// requestQueue holds the requests that wait for capacity at the origin: first come, first served within a
+// requestQueue holds the requests that wait for capacity at the origin, by priority and in order of arrival within a
 // priority.
 type requestQueue struct {
 	byPriority [queuePriorities][]int
@@ -14,14 +14,14 @@
 	q.length++
 }
 
-// first returns the request to be served next. The queue must not be empty.
+// first returns the request to serve next. The queue must not be empty.
 func (q *requestQueue) first() int {
 	for i := range q.byPriority {
 		if len(q.byPriority[i]) > 0 {
 			return q.byPriority[i][0]
 		}
 	}
-	panic("balancer: first of an empty queue")
+	panic("balancer: first called on an empty queue")
 }
 
 func (q *requestQueue) remove(request int) {
@@ -38,7 +38,7 @@
 	b.originQueue.remove(index)
 }
 
-// queuePriority orders the requests that wait for the origin.
+// queuePriority is the priority of a request that waits for the origin; lower values are served first.
 type queuePriority int
 
 const (
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -1,12 +1,12 @@
 package balancer
 
-// What a tenant may use at one time: seconds of its rate, and requests beside.
+// A tenant may use quotaBurst seconds of its rate and quotaSlack requests at once.
 const (
 	quotaBurst = 2
 	quotaSlack = 2
 )
 
-// consume counts a request of a tenant and tells whether it is over quota.
+// consume counts a request of a tenant and reports whether it is over quota.
 func (q *tenantQuota) consume(now Time, tenant int) bool {
 	if tenant < 0 || tenant >= len(q.used) {
 		return false
