--- a/balancer/hash.go
+++ b/balancer/hash.go
@@ -5,9 +5,10 @@
 	fnvPrime  = 1099511628211
 )
 
-// ringHash gives the positions of one endpoint's points on the ring: FNV-1a of name "#" number, then mixed, since FNV
-// alone spreads similar names badly. All proxies have to agree on them.
-type ringHash struct{ ofName uint64 } // and of the "#" behind it
+// ringHash computes the positions of an endpoint's ring points: FNV-1a of the name, "#" and the number of the point,
+// followed by a mixing step, since FNV alone distributes similar names unevenly. All proxies must compute the same
+// positions.
+type ringHash struct{ ofName uint64 } // hash of the name and "#"
 
 func newRingHash(name string) ringHash {
 	h := uint64(fnvOffset)
@@ -17,10 +18,10 @@
 	return ringHash{(h ^ '#') * fnvPrime}
 }
 
-// at returns the position of a point by its number.
+// at returns the position of the point with the given number.
 func (r ringHash) at(number int) uint64 { return mixHash(hashDigits(r.ofName, number)) }
 
-// hashDigits goes on with FNV-1a over a number's decimal digits.
+// hashDigits continues an FNV-1a hash with the decimal digits of a number.
 func hashDigits(h uint64, number int) uint64 {
 	if number >= 10 {
 		h = hashDigits(h, number/10)
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	ringPointsPerEndpoint = 160 // of the reference weight, as the design has it
-	boundedLoadFactor     = 2.0 // times the mean of this proxy's attempts in flight, as the design has it
+	ringPointsPerEndpoint = 160 // for an endpoint of the reference weight; set by the design
+	boundedLoadFactor     = 2.0 // multiple of the mean number of this proxy's attempts in flight; set by the design
 
-	// values of the candidate beside the index of an endpoint
+	// special values of Balancer.candidate, which otherwise is the index of an endpoint
 	notSearched = -1
 	noEndpoint  = -2
 )
 
-// findCandidate walks clockwise from the key's hash to the first cache that may have the current request.
+// findCandidate walks the ring clockwise from the key's position to the first cache that can serve the current request.
 func (b *Balancer) findCandidate() {
 	b.candidate = noEndpoint
 	if b.ring.size == 0 {
@@ -60,7 +60,7 @@
 	}
 }
 
-// keyPosition is the place of the current request's key on the ring, a random one if it has no key.
+// keyPosition returns the ring position of the current request's key, or a random position if it has no key.
 func (b *Balancer) keyPosition() uint64 {
 	if !b.current.HasKey {
 		return mixHash(uint64(b.random.draw() * (1 << 53)))
@@ -68,32 +68,33 @@
 	return mixHash(b.current.Key)
 }
 
-// isEligible tells whether the current request may go to an endpoint at all.
+// isEligible reports whether the current request may be sent to an endpoint at all.
 func (b *Balancer) isEligible(index int) bool {
 	endpoint := &b.endpoints[index]
 	return !slices.Contains(b.current.triedEndpoints, index) && b.inDedupGroup(index) &&
 		!b.isExcluded(endpoint) && !b.slowStartLimited(endpoint)
 }
 
-// isSuspected holds by the chance that an endpoint is silent by the reports of peers.
+// isSuspected returns true with the probability that an endpoint is silent by the reports of peers.
 func (b *Balancer) isSuspected(endpoint *endpointState) bool {
 	return endpoint.suspicion > 0 && b.random.draw() < b.suspicion(endpoint)
 }
 
-// exceedsBoundedLoad holds for an endpoint with too many of this proxy's attempts in flight.
+// exceedsBoundedLoad reports whether an endpoint has too many of this proxy's attempts in flight.
 func (b *Balancer) exceedsBoundedLoad(endpoint *endpointState) bool {
 	bound := max(boundedLoadFactor*float64(b.caches.inFlight)/float64(b.ring.caches)+1, 1)
 	return endpoint.inFlight >= 2 && float64(endpoint.inFlight) > bound
 }
 
-// overloadedOwnerFractionFor bounds the part of the remaining time that the responses of a key's owner may
-// take. A key that is passed on misses at the next cache: the dearer a fetch, the later it is passed on.
+// overloadedOwnerFractionFor returns the fraction of a request's remaining time above which the latency of the key's
+// owner is too high. A key that is sent to the next cache instead is a miss there, so the fraction grows with the cost
+// of a fetch.
 func overloadedOwnerFractionFor(fetchCost float64) float64 { return min(0.3+fetchCost, 0.5) }
 
-// isOverloadedOwner holds for an endpoint whose latest responses took most of the time that the current
-// request has left; the next one clockwise serves it if that is twice as quick.
+// isOverloadedOwner reports whether the recent latency of an endpoint takes too much of the current request's remaining
+// time. The next endpoint clockwise then serves the request if its latency is less than half of that.
 func (b *Balancer) isOverloadedOwner(endpoint *endpointState) bool {
-	// sooner, where this proxy seldom sends to it, but not so soon that chance passes keys on
+	// the fraction is lower for an endpoint that this proxy rarely sends to, but not so low that keys leave it by chance
 	seldom := observationWeight(0, b.responseInterval(), 10*second)
 	share := max(b.overloadedOwnerFraction-0.15*seldom, 0.3)
 	remaining := float64(min(b.current.giveUpAt, b.current.objectiveAt) - b.now)
@@ -101,9 +102,9 @@
 		b.now-endpoint.latency.updatedAt < max(3*b.noResponseTimeout, 2*b.responseInterval())
 }
 
-// isLikelyFull holds by chance for an endpoint that rejected over a third of this proxy's latest attempts as
-// overloaded, always for one that rejected nearly all: a hot key spreads clockwise over as many endpoints as
-// it takes, without a failed attempt at each. The share fades, so that the endpoint is tried again.
+// isLikelyFull returns true at random for an endpoint that rejected more than a third of this proxy's latest attempts as
+// overloaded, and always for one that rejected nearly all. A hot key thus spreads clockwise over as many endpoints as it
+// needs, without a failed attempt at each of them. The fraction decays with time, so that the endpoint is tried again.
 func (b *Balancer) isLikelyFull(endpoint *endpointState) bool {
 	if endpoint.overloads.value < 0.35 {
 		return false
--- a/balancer/ringmembers.go
+++ b/balancer/ringmembers.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// pointsOf is the number of points that an endpoint should have on the ring.
+// pointsOf returns the number of ring points that an endpoint should have.
 func (b *Balancer) pointsOf(endpoint *endpointState) int {
 	switch {
 	case !endpoint.Ready || endpoint.Origin:
@@ -16,8 +16,8 @@
 	return ringPointsPerEndpoint
 }
 
-// setReferenceWeight takes the power of two next to the mean weight, once: it is the same at every proxy,
-// however their lists differ.
+// setReferenceWeight sets the reference weight, once, to the power of two nearest to the mean weight. Rounding gives the
+// same value at every proxy even if their endpoint lists differ.
 func (b *Balancer) setReferenceWeight() {
 	sum, caches := 0.0, 0.0
 	for i := range b.endpoints {
@@ -30,8 +30,8 @@
 	}
 }
 
-// updateRing follows changes of some endpoints. The points of a cache depend on nothing but its name and
-// weight, so that one that joins or leaves moves its own keys only.
+// updateRing updates the ring after changes to some endpoints. The points of a cache depend only on its name and weight,
+// so a cache that joins or leaves moves only its own keys.
 func (b *Balancer) updateRing(changed []int) {
 	servingBefore := b.ring.servingCaches
 	if b.ring.referenceWeight == 0 {
@@ -51,7 +51,7 @@
 	b.scaleCapacity(servingBefore)
 }
 
-// countCache counts an endpoint by its points from now on, and by the part of the keys that avoid it.
+// countCache updates the ring's counts for an endpoint with the given number of points and its excluded fraction.
 func (b *Balancer) countCache(endpoint *endpointState, points int) {
 	r := &b.ring
 	if endpoint.points > 0 {
@@ -70,11 +70,11 @@
 		}
 	}
 	if r.excluded == 0 {
-		r.servingCaches = float64(r.caches) // no rounding of parts stays
+		r.servingCaches = float64(r.caches) // no rounding errors of the fractions remain
 	}
 }
 
-// updateOrigin keeps the ready origins in the order of their indices.
+// updateOrigin adds an endpoint to the ready origins or removes it. They are sorted by index.
 func (b *Balancer) updateOrigin(index int, endpoint *endpointState) {
 	i, listed := slices.BinarySearch(b.origins, index)
 	switch isReady := endpoint.Ready && endpoint.Origin; {
@@ -85,7 +85,7 @@
 	}
 }
 
-// takeOffRing removes the points of an endpoint whose index becomes another's.
+// takeOffRing removes the points of an endpoint whose index is reassigned.
 func (b *Balancer) takeOffRing(index int) {
 	endpoint := &b.endpoints[index]
 	if endpoint.points > 0 {
--- a/balancer/ringpoints.go
+++ b/balancer/ringpoints.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// pointsPerBucket is how many points a bucket of the ring has at most, in the mean, after it was laid out anew, and
-	// spareBucketPoints how many more there is room for when one grows.
+	// pointsPerBucket is the maximum mean number of points per bucket after a rebuild; spareBucketPoints is the capacity
+	// that is added to a bucket when it grows.
 	pointsPerBucket   = 16
 	spareBucketPoints = 8
-	// The ring is laid out anew once its buckets have more or less than these points in the mean, or once over one in
-	// bulkPart of its points changes: that is cheaper than to place as many one by one.
+	// The ring is rebuilt if the mean number of points per bucket leaves these bounds, or if more than one in bulkPart of
+	// its points changes, since that costs less than inserting as many points one by one.
 	maxPointsPerBucket = 4 * pointsPerBucket
 	minPointsPerBucket = pointsPerBucket / 4
 	bulkPart           = 4
 )
 
-// ring is the consistent-hash ring of the ready caches. Its points lie in buckets by the top bits of their positions,
-// so that a cache that joins or leaves moves only what stands in the buckets of its own points.
+// ring is the consistent-hash ring of the ready caches. Its points are stored in buckets by the most significant bits of
+// their positions, so a cache that joins or leaves moves only points in the buckets of its own points.
 type ring struct {
-	buckets         [][]ringPoint // in order, the points of each as well; a power of two of them, none for an empty ring
-	shift           int           // by which a position gives its bucket
-	size            int           // points
-	caches          int           // endpoints on the ring
-	servingCaches   float64       // caches, less the part of the keys that avoid each
-	excluded        int           // caches that a part of the keys avoids
-	referenceWeight float64       // weight of an endpoint with ringPointsPerEndpoint points, 0: not known yet
+	buckets         [][]ringPoint // sorted, as are the points of each; the number is a power of two, 0 for an empty ring
+	shift           int           // right shift that gives the bucket of a position
+	size            int           // number of points
+	caches          int           // number of endpoints on the ring
+	servingCaches   float64       // caches minus their excluded fractions
+	excluded        int           // number of caches with an excluded fraction
+	referenceWeight float64       // weight of an endpoint with ringPointsPerEndpoint points; 0: not set yet
 }
 
-// ringPoint is one place of an endpoint on the ring.
+// ringPoint is one point of an endpoint on the ring.
 type ringPoint struct {
 	position uint64
 	endpoint int32
 }
 
-// ringChange is a change of the number of points that an endpoint has: those of its lowest numbers.
+// ringChange is a change of the number of an endpoint's points. An endpoint with n points has those numbered 0 to n-1.
 type ringChange struct {
 	endpoint      int32
 	name          string
@@ -47,7 +47,7 @@
 	return p.position < q.position || p.position == q.position && p.endpoint < q.endpoint
 }
 
-// update changes the numbers of points of endpoints, each of which is named once.
+// update applies changes of the numbers of points. Each endpoint occurs at most once.
 func (r *ring) update(changes []ringChange) {
 	moved, size := 0, r.size
 	for i := range changes {
@@ -90,10 +90,10 @@
 	}
 }
 
-// indexIn returns the index of the first point of a bucket that is not before a point. Positions are spread evenly, so
-// that it is near to where it would be if they lay at equal distances.
+// indexIn returns the index of the first point in a bucket that is not before the given point. Positions are distributed
+// evenly, so the search starts at the index that equal distances would give.
 func (r *ring) indexIn(bucket []ringPoint, point ringPoint) int {
-	part := point.position << (64 - r.shift) // of the bucket, in 64 bits
+	part := point.position << (64 - r.shift) // position within the bucket, scaled to 64 bits
 	guess, _ := bits.Mul64(part, uint64(len(bucket)))
 	i := int(guess)
 	for i > 0 && !bucket[i-1].before(point) {
@@ -105,7 +105,7 @@
 	return i
 }
 
-// layOut makes new buckets for the points that there are after changes, which are size together.
+// layOut rebuilds the buckets for the ring after changes, which then has size points.
 func (r *ring) layOut(changes []ringChange, size int) {
 	before := *r
 	r.size, r.buckets = size, nil
@@ -140,7 +140,7 @@
 	}
 }
 
-// without returns the points of the endpoints that do not change.
+// without returns the points of the endpoints that are not changed.
 func (r *ring) without(changes []ringChange) []ringPoint {
 	changed := map[int32]bool{}
 	for i := range changes {
@@ -157,8 +157,8 @@
 	return points
 }
 
-// newPositions returns the positions of the points that the endpoints that change have afterwards, one endpoint after
-// the other.
+// newPositions returns the positions of all points that the changed endpoints have after the changes, one endpoint after
+// another.
 func newPositions(changes []ringChange) []uint64 {
 	count := 0
 	for i := range changes {
@@ -174,13 +174,13 @@
 	return positions
 }
 
-// append adds a point at the end of its bucket, which is sorted later.
+// append adds a point at the end of its bucket, which the caller sorts later.
 func (r *ring) append(point ringPoint) {
 	bucket := &r.buckets[point.position>>r.shift]
 	*bucket = append(*bucket, point)
 }
 
-// sortBucket sorts by insertion, as a bucket holds few points.
+// sortBucket uses insertion sort because a bucket contains few points.
 func sortBucket(bucket []ringPoint) {
 	for i := 1; i < len(bucket); i++ {
 		point, at := bucket[i], i
@@ -191,15 +191,15 @@
 	}
 }
 
-// ringWalk is a walk clockwise over all points of a ring.
+// ringWalk is a clockwise walk over all points of a ring.
 type ringWalk struct {
 	ring   *ring
 	bucket int
-	next   int // point of the bucket
-	left   int // points that are still to be visited
+	next   int // index of the next point in the bucket
+	left   int // number of points not visited yet
 }
 
-// walkFrom begins a walk at the first point at or after a position.
+// walkFrom returns a walk that starts at the first point at or after a position.
 func (r *ring) walkFrom(position uint64) ringWalk {
 	walk := ringWalk{ring: r, left: r.size}
 	if r.size > 0 {
@@ -209,7 +209,7 @@
 	return walk
 }
 
-// step returns the endpoint of the next point, and false once all points were visited.
+// step returns the endpoint of the next point, or false if all points have been visited.
 func (w *ringWalk) step() (endpoint int, ok bool) {
 	if w.left == 0 {
 		return 0, false
