--- a/balancer/coalescing.go
+++ b/balancer/coalescing.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// mayFollow holds, once for each request, for a read of a key that another request of this proxy is
-// fetching.
+// mayFollow reports whether the current request can wait for the fetch of another one: it is a read of a key that
+// another request of this proxy is fetching. A request waits only once.
 func (b *Balancer) mayFollow() bool {
 	request := b.current
 	if !request.HasKey || request.Write || request.hasFollowed || request.queued {
@@ -13,7 +13,7 @@
 	return isFetched && leader != b.currentIndex
 }
 
-// follow waits for the other's fetch for half of the time that is left.
+// follow makes the current request wait for the other request's fetch, for half of the remaining time at most.
 func (b *Balancer) follow() {
 	request := b.current
 	request.hasFollowed, request.following = true, true
@@ -22,7 +22,7 @@
 	b.releaseCurrent()
 }
 
-// leadFetch lets others follow the current request, if it is a read and none leads for its key yet.
+// leadFetch lets other requests follow the current one if it is a read and its key has no leader yet.
 func (b *Balancer) leadFetch() {
 	request := b.current
 	if _, isFetched := b.coalescing.leaders[request.Key]; request.HasKey && !request.Write && !isFetched {
@@ -31,7 +31,7 @@
 	}
 }
 
-// completeFetch has the followers ask the cache, which now holds the answer.
+// completeFetch ends the waiting of the followers. They are sent to the cache, which now holds the value.
 func (b *Balancer) completeFetch(leader *requestState) {
 	leader.leadsFetch = false
 	delete(b.coalescing.leaders, leader.Key)
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -1,10 +1,10 @@
 package balancer
 
-// maxTimeoutVotes bounds how long a timeout that clients used to give is remembered.
+// maxTimeoutVotes limits how long a client timeout that is no longer in use is remembered.
 const maxTimeoutVotes = 1000
 
-// newRouteState derives how long an answer is worth waiting for: up to the latency objective, or up to the
-// overall timeout where a late answer still earns something.
+// newRouteState derives the time for which a response is useful: up to the latency objective, or up to the overall
+// timeout if late responses have a value.
 func newRouteState(r *Route, tick Time, highestValue float64, punctual bool) routeState {
 	route := routeState{Route: *r, priorityWeight: r.Value / max(highestValue, 1e-9)}
 	route.latencyBudget = r.Objective - 2*tick
@@ -15,9 +15,10 @@
 	return route
 }
 
-// elapsedAtClient returns how long ago the client first sent the request, as far as its remaining time
-// shows. First attempts of a route come with the same time left, within two ticks. A later one that shows
-// another has what is left of the overall timeout, and its latency objective has been running all along.
+// elapsedAtClient returns the time since the client first sent the request, estimated from the remaining timeout. First
+// attempts of a route arrive with the same remaining timeout, within two ticks. A request with another remaining
+// timeout is taken for a retry by the client: its overall timeout and latency objective have been running since the
+// first attempt.
 func elapsedAtClient(route *routeState, e *Request, tick Time) Time {
 	difference := e.RemainingTimeout - route.firstAttemptTimeout
 	isUsual := max(difference, -difference) <= 2*tick
@@ -36,17 +37,18 @@
 	return 0
 }
 
-// isPastDeadline holds when an answer would come too late to be worth anything, or for the overall timeout.
+// isPastDeadline reports whether a response would arrive too late to be useful, or after the overall timeout.
 func (b *Balancer) isPastDeadline() bool {
 	return b.now >= min(b.current.giveUpAt, b.current.deadline-b.tick)
 }
 
-// awaitAttempt leaves the current request until its attempt in flight is no longer worth waiting for.
+// awaitAttempt postpones the current request until the response to its attempt in flight is no longer useful or, at a
+// cache, until it may be hedged or is overdue.
 func (b *Balancer) awaitAttempt() {
 	request := b.current
 	checkAt := min(request.giveUpAt, request.deadline-b.tick)
 	if !b.endpoints[request.endpoint].Origin {
-		// check whether it may be hedged, whether it is overdue, and again if that could not be told yet
+		// check first for hedging, then whether the attempt is overdue; recheck later if both times have passed
 		overdue := b.responseBound(overdueDeviations)
 		for _, at := range [...]Time{b.hedgeAt(request), request.sentAt + overdue, b.now + overdue} {
 			if at > b.now {
--- a/balancer/deadlineheap.go
+++ b/balancer/deadlineheap.go
@@ -5,8 +5,8 @@
 	"container/heap"
 )
 
-// deadlineHeap orders requests by the time of their next check. A request has one entry at most, and none
-// once it is answered. It implements heap.Interface and keeps requestState.heapIndex up to date.
+// deadlineHeap orders requests by the time of their next check. A request has at most one entry, and none after its
+// final reply. It implements heap.Interface and keeps requestState.heapIndex up to date.
 type deadlineHeap struct {
 	requests *[]requestState
 	entries  []deadlineEntry
@@ -30,13 +30,13 @@
 	h.place(j)
 }
 
-// Push appends an entry; called by container/heap only.
+// Push appends an entry. It is called by container/heap only.
 func (h *deadlineHeap) Push(v any) {
 	h.entries = append(h.entries, v.(deadlineEntry))
 	h.place(len(h.entries) - 1)
 }
 
-// Pop removes the last entry; called by container/heap only.
+// Pop removes the last entry. It is called by container/heap only.
 func (h *deadlineHeap) Pop() any {
 	last := h.entries[len(h.entries)-1]
 	h.entries = h.entries[:len(h.entries)-1]
@@ -46,7 +46,7 @@
 
 func (h *deadlineHeap) place(i int) { (*h.requests)[h.entries[i].request].heapIndex = i }
 
-// setDeadline has a request checked at the given time, in place of any time set before.
+// setDeadline sets the time at which a request is checked next, and replaces any earlier setting.
 func (b *Balancer) setDeadline(index int, at Time) {
 	request := &b.requests[index]
 	request.nextCheckAt = at
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -1,14 +1,14 @@
 package balancer
 
-// DelayProbe has an ejected endpoint probed no sooner than at the given time, since proxies take turns.
+// DelayProbe delays the next probe of an ejected endpoint until the given time, because proxies take turns at probing.
 func (b *Balancer) DelayProbe(now Time, endpoint int, until Time) []Decision {
 	b.begin(now)
 	b.endpoints[endpoint].probeAt = until
 	return b.settle()
 }
 
-// awaitsOutlier holds when the cache that the current request waits for is overdue, while another cache has
-// responded since: the cache takes work and does none, or is cut off.
+// awaitsOutlier reports whether the current request waits for a cache that is overdue while another cache has responded
+// since: the cache accepts requests without processing them, or is unreachable.
 func (b *Balancer) awaitsOutlier() bool {
 	request := b.current
 	if request.inFlight == 0 {
@@ -20,13 +20,15 @@
 		(endpoint.inFlight >= 2 || b.now-request.sentAt >= b.noResponseTimeout)
 }
 
-// isOverdue holds when the current request's endpoint has responded to nothing since its attempt was sent.
+// isOverdue reports whether the current request's endpoint has sent no response since the attempt was sent, for longer
+// than the bound for overdue responses.
 func (b *Balancer) isOverdue(endpoint *endpointState) bool {
 	sentAt := b.current.sentAt
 	return endpoint.silentSince <= sentAt && b.now-sentAt >= b.responseBound(overdueDeviations)
 }
 
-// delayNextProbe keeps further probes from an ejected endpoint for a while, once one is sent.
+// delayNextProbe delays the next probe of an ejected endpoint by the probe interval; it is called when an attempt is
+// sent there.
 func (e *endpointState) delayNextProbe(now Time) {
 	if e.ejected {
 		e.probeAt = now + e.ejectionTime
@@ -35,13 +37,14 @@
 
 func (b *Balancer) ejectOutlier() { b.eject(&b.endpoints[b.current.endpoint]) }
 
-// isUnavailable holds for an ejected endpoint whose next probe is not due.
+// isUnavailable reports whether an endpoint is ejected and its next probe is not due or one is in flight.
 func (b *Balancer) isUnavailable(endpoint *endpointState) bool {
 	return endpoint.ejected && (b.now < endpoint.probeAt || endpoint.inFlight > 0)
 }
 
-// eject keeps all but probes from an endpoint until it responds. The interval of probes doubles, from as
-// long as this proxy would not send to the endpoint anyway, or each attempt would be a probe.
+// eject restricts an endpoint to probes until it responds. The probe interval doubles with each failure, up to four
+// times the shortest one. The shortest interval is no less than the mean time between two responses of a cache to this
+// proxy: with a shorter interval each attempt at the endpoint would be a probe.
 func (b *Balancer) eject(endpoint *endpointState) {
 	shortest := max(b.noResponseTimeout, b.responseInterval())
 	endpoint.ejectionTime = min(max(2*endpoint.ejectionTime, shortest), 4*shortest)
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -1,31 +1,31 @@
 package balancer
 
-// endpointState is what this proxy knows of one endpoint.
+// endpointState is the state of one endpoint as this proxy observes it.
 type endpointState struct {
 	Endpoint
 	inFlight       int  // attempts of this proxy
-	silentSince    Time // no response since then, with attempts in flight
+	silentSince    Time // time of the latest response, or of the first attempt in flight if it was sent later
 	lastResponseAt Time
 
-	ejected      bool // sent nothing but probes until it responds
-	probeAt      Time // when an ejected endpoint may be sent the next probe
-	ejectionTime Time // interval of probes, growing with each failure
+	ejected      bool // receives only probes until it responds
+	probeAt      Time // earliest time of the next probe of an ejected endpoint
+	ejectionTime Time // probe interval, growing with each failure
 	errorRate    float64
-	overloads    movingMean // share of attempts that it rejected as overloaded
+	overloads    movingMean // fraction of attempts that it rejected as overloaded
 	latency      movingMean // latency of its responses, in units of Time
 
-	excludedFraction float64 // part of the keys that avoid it since its zone is evacuated
-	evacuating       bool    // attempts in flight there are cancelled
+	excludedFraction float64 // fraction of the keys that are kept away because its zone is evacuated
+	evacuating       bool    // attempts in flight at the endpoint are canceled
 
-	responses       int     // since its slow start began
-	slowStartBudget float64 // attempts that it may be sent now
+	responses       int     // number of responses since its slow start began
+	slowStartBudget float64 // number of attempts that may be sent to it now
 	budgetUpdatedAt Time
 
 	gossipAt    Time    // when its state was last received from peers or sent to them
-	suspicion   float64 // how likely it is silent by the reports of peers, as of suspicionAt
+	suspicion   float64 // probability, by the reports of peers, that it is silent, as of suspicionAt
 	suspicionAt Time
 
-	points           int     // on the ring
-	countedExclusion float64 // the excluded share by which the ring counts it
-	visitMark        int     // stamp of the latest walk that visited it
+	points           int     // number of its ring points
+	countedExclusion float64 // excluded fraction that the ring's counts contain
+	visitMark        int     // mark of the latest walk that visited it
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -7,10 +7,10 @@
 	endpoint := &b.endpoints[listed.Index]
 	if endpoint.Name != listed.Name {
 		b.takeOffRing(listed.Index)
-		*endpoint = endpointState{} // the index was another's, whose record says nothing of this one
+		*endpoint = endpointState{} // the index belonged to another endpoint, whose state does not apply
 	}
 	if listed.StartedAt == 0 && endpoint.Name == "" && !first {
-		listed.StartedAt = b.now // newly seen: as good as just started
+		listed.StartedAt = b.now // an endpoint that is new to this proxy counts as just started
 	}
 	if endpoint.Name == "" || listed.StartedAt > endpoint.StartedAt {
 		b.restartEndpoint(endpoint)
@@ -19,7 +19,7 @@
 	endpoint.Endpoint = listed
 }
 
-// restartEndpoint forgets the record of an endpoint's last process and begins its slow start.
+// restartEndpoint resets the state that belongs to an endpoint's previous process and begins its slow start.
 func (b *Balancer) restartEndpoint(endpoint *endpointState) {
 	endpoint.ejected, endpoint.ejectionTime = false, 0
 	endpoint.responses, endpoint.errorRate, endpoint.suspicion = 0, 0, 0
@@ -28,7 +28,8 @@
 	endpoint.lastResponseAt = b.now - b.noResponseTimeout - 1
 }
 
-// EndpointListFailed reports that polling the list failed. It is polled again well within the interval.
+// EndpointListFailed reports that polling the endpoint list failed. It is polled again after a second or a quarter of
+// the polling interval, whichever is shorter.
 func (b *Balancer) EndpointListFailed(now Time) []Decision {
 	b.begin(now)
 	if b.pollsList {
--- a/balancer/evacuation.go
+++ b/balancer/evacuation.go
@@ -1,7 +1,8 @@
 package balancer
 
-// SetExclusion keeps a part of the keys, 0 to 1, the same at every proxy, from an endpoint of an evacuated
-// zone. Capacity shrinks to that of the others. With cancel, attempts in flight there are cancelled.
+// SetExclusion keeps a fraction of the keys, 0 to 1, away from an endpoint whose zone is evacuated. The keys are the
+// same at every proxy. The capacity is reduced to that of the remaining endpoints. If cancel is set, attempts in flight
+// at the endpoint are canceled.
 func (b *Balancer) SetExclusion(now Time, index int, part float64, cancel bool) []Decision {
 	b.begin(now)
 	endpoint := &b.endpoints[index]
@@ -17,15 +18,15 @@
 	return b.settle()
 }
 
-// isExcluded holds for an endpoint that the current request's key avoids.
+// isExcluded reports whether the current request's key is kept away from an endpoint.
 func (b *Balancer) isExcluded(endpoint *endpointState) bool {
 	return endpoint.excludedFraction > 0 &&
 		float64(mixHash(mixHash(b.current.Key))>>40) < endpoint.excludedFraction*(1<<24)
 }
 
-// mustLeaveZone holds for an attempt in flight in a zone that is evacuated, or an overdue one in a zone that
-// returns, if the route lets it be sent elsewhere: a duplicate outside the group of a deduped request would
-// be carried out.
+// mustLeaveZone reports whether the current request's attempt in flight must be canceled because its zone is evacuated,
+// or because it is overdue in a zone that returns to service. The route must allow sending it elsewhere: endpoints
+// outside the group of a deduped request would execute a duplicate.
 func (b *Balancer) mustLeaveZone() bool {
 	request := b.current
 	if request.inFlight == 0 || request.evacuated || !b.mayCancel {
@@ -37,8 +38,8 @@
 	return endpoint.evacuating && mayResend && (b.isExcluded(endpoint) || b.isOverdue(endpoint))
 }
 
-// cancelForEvacuation happens once for an attempt. It is no sign of an overload, so that the retry is not
-// bounded by the retry budget.
+// cancelForEvacuation cancels the current request's attempt, once per attempt. The cancellation is no sign of overload,
+// so the retry budget does not apply to the retry.
 func (b *Balancer) cancelForEvacuation() {
 	b.current.evacuated = true
 	b.emit(Decision{Action: Cancel, Request: b.currentIndex, Attempt: b.current.attempt})
--- a/balancer/fetches.go
+++ b/balancer/fetches.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// coalescer knows which requests fetch a key from the origin and which wait for them. Both maps are emptied
-// as fetches complete.
+// coalescer records which requests fetch a key from the origin and which wait for them. Entries are removed when a
+// fetch completes.
 type coalescer struct {
 	leaders   map[uint64]int   // by key: the request that fetches it
-	followers map[uint64][]int // by key: the requests that wait for its fetch
+	followers map[uint64][]int // by key: the requests that wait for the fetch
 }
 
 func newCoalescer() coalescer {
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -1,21 +1,21 @@
 package balancer
 
-// Deviations beyond the mean latency of the caches after which nearly all responses have come, and after
-// which a response is overdue.
+// Numbers of mean deviations above the mean latency of the caches: within hedgeDeviations nearly all responses arrive,
+// beyond overdueDeviations a response is overdue.
 const (
 	hedgeDeviations   = 2
 	overdueDeviations = 4
 )
 
-// responseBound is the mean latency of the caches and so many deviations, the no-response timeout at most.
+// responseBound returns the mean latency of the caches plus a number of deviations, limited to the no-response timeout.
 func (b *Balancer) responseBound(deviations float64) Time {
 	bound := Time(b.caches.meanLatency+deviations*b.caches.meanDeviation) + b.tick
 	return min(bound, b.noResponseTimeout)
 }
 
-// mayHedge holds for a read that a cache has not answered in the time that nearly all take, while the origin
-// has capacity and would still answer in time. With little traffic each proxy encounters each hung endpoint
-// for the first time, and would lose a request by that.
+// mayHedge reports whether the current request is hedged at the origin: it is a read, its cache has not responded in
+// the time in which nearly all do, and the origin has capacity and would still respond in time. Without hedging, a
+// proxy with little traffic would lose a request at each hung endpoint before it detects the fault.
 func (b *Balancer) mayHedge() bool {
 	request := b.current
 	return request.inFlight == 1 && b.hedging && request.HasKey && !request.Write && !request.needsOrigin &&
@@ -30,8 +30,8 @@
 	b.sendAttempt(b.leastLoadedOrigin(), ReasonHedge)
 }
 
-// hedgeAt is when nearly all responses have come, or sooner where the origin's would come too late after
-// that.
+// hedgeAt returns the time at which a request is hedged: when nearly all responses have arrived, or earlier if the
+// origin's response would then come too late, but not before the mean latency plus one deviation.
 func (b *Balancer) hedgeAt(request *requestState) Time {
 	latest := request.giveUpAt - request.sentAt - b.origin.expectedLatency() - b.tick
 	return request.sentAt + min(b.responseBound(hedgeDeviations), max(b.responseBound(1), latest))
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Retries, and hedged attempts with them, are bounded by a budget that admitted requests fill: more of them
-// would keep up what caused the failures.
+// retryBudget limits retries and hedged attempts to a fraction of the admitted requests, since more retries would prolong
+// the overload that causes failures.
 type retryBudget float64
 
 const (
@@ -12,9 +12,9 @@
 
 func (b *Balancer) attemptsExhausted() bool { return b.current.attempts >= b.maxAttempts }
 
-// retryForbidden holds for a request that may have run and that may not be sent again, or not by the budget.
-// Resets are not bounded by it: where servers close many connections that have been idle, each costs no more
-// than the next attempt.
+// retryForbidden reports whether the current request may have been executed and must not be retried, or whether the
+// retry budget is exhausted. The budget does not apply after connection resets: when servers close many idle
+// connections, each reset costs no more than the next attempt.
 func (b *Balancer) retryForbidden() bool {
 	request := b.current
 	if !request.mayHaveRun {
@@ -28,7 +28,7 @@
 	return route.Effect != Retriable && !isDropped
 }
 
-// chargeRetry takes an attempt that is being sent from the budget if it is a retry that the budget bounds.
+// chargeRetry charges the budget for the attempt that is being sent if it is a retry to which the budget applies.
 func (b *Balancer) chargeRetry(request *requestState) {
 	if request.mayHaveRun && !request.wasReset && !request.evacuated {
 		b.retryBudget--
@@ -38,8 +38,8 @@
 
 func (r *retryBudget) refill() { *r = min(*r+retriesPerAdmission, maxRetryBudget) }
 
-// inDedupGroup tells whether an endpoint may be sent the current request: it would drop it if it has already
-// run.
+// inDedupGroup reports whether an endpoint may receive the current request: if the request is deduped and may have been
+// executed, only an endpoint of the same group drops the duplicate.
 func (b *Balancer) inDedupGroup(index int) bool {
 	request := b.current
 	route := &b.routes[request.Route]
--- a/balancer/shadow.go
+++ b/balancer/shadow.go
@@ -1,20 +1,20 @@
 package balancer
 
-// These methods serve a shadow balancer: one that is given all events of another one and decides, but is
-// then told what the other one did. Nothing here decides.
+// The methods in this file are for a shadow balancer, which receives all events of another balancer and makes decisions.
+// The caller does not carry them out and reports what the other balancer did. No decision is made here.
 
-// Decides reports whether the balancer still decides on a request.
+// Decides reports whether the balancer still makes decisions on a request.
 func (b *Balancer) Decides(index int) bool { return index < len(b.requests) && b.requests[index].live }
 
-// Release takes a request out of the balancer's hands. It goes on learning from the attempts of the request.
+// Release ends the balancer's decisions on a request. It still records the outcomes of the request's attempts.
 func (b *Balancer) Release(index int) { b.finish(index) }
 
-// RetractAttempt takes back the latest attempt of a request, which this balancer decided on and which was not sent.
+// RetractAttempt undoes the latest attempt of a request, which this balancer decided on and which was not sent.
 func (b *Balancer) RetractAttempt(index int) {
 	request := &b.requests[index]
 	b.recordEnded(request, &b.endpoints[request.endpoint])
 	request.attempts--
-	request.resumePreviousAttempt() // if it was a hedged attempt, the first one stands
+	request.resumePreviousAttempt() // after a hedged attempt the first one is the latest again
 	request.triedEndpoints = request.triedEndpoints[:len(request.triedEndpoints)-1]
 }
 
@@ -24,7 +24,8 @@
 	b.recordSent(&b.requests[index], endpoint)
 }
 
-// Load returns how many attempts are in flight at caches, and how many of them the caches answer in time.
+// Load returns the number of attempts in flight at caches and the capacity, which is the number of them to which the
+// caches respond in time.
 func (b *Balancer) Load() (inFlight int, capacity float64) {
 	return b.caches.inFlight, b.admission.capacity
 }
@@ -34,5 +35,5 @@
 	return endpoint < len(b.endpoints) && b.endpoints[endpoint].ejected
 }
 
-// InFlight returns how many attempts are in flight, as far as the balancer knows.
+// InFlight returns the number of attempts in flight that the balancer has recorded.
 func (b *Balancer) InFlight() int { return b.caches.inFlight + b.origin.inFlight }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,7 +1,7 @@
 package balancer
 
-// slowStartLimited holds for an endpoint in slow start that has as much in flight as its responses so far
-// allow, or that has used up its part of the slow-start budget. It consumes that budget.
+// slowStartLimited reports whether an endpoint in slow start must not be sent another attempt: it has as many in flight
+// as its responses so far allow, or this proxy has used up its part of the slow-start budget. It consumes that budget.
 func (b *Balancer) slowStartLimited(endpoint *endpointState) bool {
 	age := b.now - endpoint.StartedAt
 	if endpoint.StartedAt == 0 || age >= b.slowStart.period {
@@ -13,24 +13,24 @@
 	b.refillSlowStartBudget(endpoint, age)
 	consumed := min(endpoint.slowStartBudget, 1)
 	endpoint.slowStartBudget -= consumed
-	// a part of an attempt is an attempt by chance
+	// a fraction of an attempt is an attempt with that probability
 	return b.random.draw() >= consumed
 }
 
-// refillSlowStartBudget adds what may be sent since the last time. That is this proxy's part of what all
-// proxies may send without bringing the endpoint down, with its capacity taken to be no more than what a
-// warm endpoint answers for this proxy.
+// refillSlowStartBudget adds the budget for the time since the latest update. The rate is this proxy's part of the load
+// that all proxies may send without overloading the endpoint. The endpoint's capacity is assumed to be no more than the
+// rate at which a warm endpoint responds to this proxy.
 func (b *Balancer) refillSlowStartBudget(endpoint *endpointState, age Time) {
 	c := &b.slowStart
 	share := c.initialFraction + (1-c.initialFraction)*float64(max(age, 0))/float64(c.period)
 	warmRate := b.cacheResponseRate() / float64(max(b.ring.caches, 1))
-	// one that serves one at a time answers one in the mean latency: no endpoint has a lower capacity
+	// an endpoint that serves one request at a time completes one per mean latency; no endpoint has a lower capacity
 	minRate := b.quotaShare * share * float64(second) / max(b.caches.meanLatency, 1)
 	rate := max(0.5*c.overloadMultiple*share*warmRate, minRate)
 	endpoint.slowStartBudget += rate * float64(b.now-endpoint.budgetUpdatedAt) / float64(second)
 	endpoint.budgetUpdatedAt = b.now
-	// what the window has room for, saved up by all proxies, may come at one time; one from each of many
-	// proxies would be too much
+	// all proxies may spend their saved budgets at once, so the budget is limited to what the window allows; one attempt
+	// from each of many proxies would be too much
 	window := rate * float64(c.overloadWindow) / float64(second)
 	endpoint.slowStartBudget = min(endpoint.slowStartBudget, 1.5*window, 1+window/4)
 }
