--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -29,7 +29,7 @@
 	if request.inFlight == 1 && a.Endpoint == request.endpoint {
 		request.resumePreviousAttempt() // the hedged attempt has ended; the first one is still in flight
 	}
-	b.learn(request, endpoint, a)
+	b.recordOutcome(request, endpoint, a)
 	if a.Outcome.mayHaveRun() && !request.mayHaveRun {
 		request.mayHaveRun, request.firstRunAt, request.firstRunEndpoint = true, request.sentAt, a.Endpoint
 	}
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -8,8 +8,8 @@
 	ejectionErrorRatio = 2   // minimum ratio of an ejected cache's error rate to that of all caches
 )
 
-// learn updates the statistics of the endpoint and of the caches or the origin, and adapts their limits.
-func (b *Balancer) learn(request *requestState, endpoint *endpointState, a AttemptResult) {
+// recordOutcome updates the statistics of the endpoint and of the caches or the origin, and adapts their limits.
+func (b *Balancer) recordOutcome(request *requestState, endpoint *endpointState, a AttemptResult) {
 	unanswered := a.Outcome == TimedOut || a.Outcome == Cancelled
 	attempt := finishedAttempt{AttemptResult: a, request: request, endpoint: endpoint}
 	attempt.responded = a.Outcome.isResponse()
@@ -19,15 +19,15 @@
 	attempt.late = a.Outcome == TimedOut ||
 		tookLong && (a.Outcome == Completed || a.Outcome == CacheMiss || a.Outcome == Cancelled)
 	endpoint.overloads.observe(b.now, indicator(a.Outcome == Overloaded), 1.0/8, 3*second)
-	b.learnLatency(&attempt)
-	b.learnLoad(&attempt)
-	b.learnOriginLimit(&attempt)
-	b.learnResponse(&attempt)
-	b.learnErrors(&attempt)
-	b.learnFailure(&attempt)
+	b.recordLatency(&attempt)
+	b.adaptLimits(&attempt)
+	b.recordOriginLimit(&attempt)
+	b.recordResponse(&attempt)
+	b.recordErrors(&attempt)
+	b.ejectOnFailure(&attempt)
 }
 
-func (b *Balancer) learnLatency(attempt *finishedAttempt) {
+func (b *Balancer) recordLatency(attempt *finishedAttempt) {
 	switch {
 	case attempt.endpoint.Origin && attempt.Outcome == Completed:
 		b.origin.observeAnswer(b.now, attempt.Latency)
@@ -36,8 +36,8 @@
 	}
 }
 
-// learnLoad adapts the origin's limit and the caches' capacity. Only the first matching case applies.
-func (b *Balancer) learnLoad(attempt *finishedAttempt) {
+// adaptLimits adapts the origin's limit and the caches' capacity. Only the first matching case applies.
+func (b *Balancer) adaptLimits(attempt *finishedAttempt) {
 	switch {
 	case attempt.endpoint.Origin && attempt.Outcome == Completed && attempt.Latency <= b.origin.objective:
 		b.origin.increase()
@@ -78,7 +78,7 @@
 		b.peerCount > 0 && b.caches.lateRate.value > overloadLateRate
 }
 
-func (b *Balancer) learnOriginLimit(attempt *finishedAttempt) {
+func (b *Balancer) recordOriginLimit(attempt *finishedAttempt) {
 	if attempt.endpoint.Origin {
 		if attempt.Outcome == Completed {
 			b.origin.lastGoodLimit += b.origin.limit - b.origin.lastGoodLimit
@@ -88,7 +88,7 @@
 	b.logConstrained()
 }
 
-func (b *Balancer) learnResponse(attempt *finishedAttempt) {
+func (b *Balancer) recordResponse(attempt *finishedAttempt) {
 	if !attempt.responded {
 		return
 	}
@@ -99,9 +99,9 @@
 	}
 }
 
-// learnErrors updates the error rates by a cache's response. A cache that fails many of its requests while the others do
+// recordErrors updates the error rates by a cache's response. A cache that fails many of its requests while the others do
 // not is ejected. An ejected cache that responds without an error is returned to service.
-func (b *Balancer) learnErrors(attempt *finishedAttempt) {
+func (b *Balancer) recordErrors(attempt *finishedAttempt) {
 	if !attempt.responded || attempt.endpoint.Origin {
 		return
 	}
@@ -119,8 +119,8 @@
 	}
 }
 
-// learnFailure ejects a cache to which no connection can be opened, and extends the ejection of one whose probe failed.
-func (b *Balancer) learnFailure(attempt *finishedAttempt) {
+// ejectOnFailure ejects a cache to which no connection can be opened, and extends the ejection of one whose probe failed.
+func (b *Balancer) ejectOnFailure(attempt *finishedAttempt) {
 	endpoint := attempt.endpoint
 	probeFailed := attempt.failedProbe && b.now >= endpoint.probeAt &&
 		endpoint.silentSince <= attempt.request.sentAt
