--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -18,7 +18,7 @@
 	request.needsOrigin = e.Write && b.cacheAside
 	request.overQuota = b.quota.consume(now, e.Tenant)
 	b.pending = append(b.pending, index)
-	return b.settle()
+	return b.applyRules()
 }
 
 // AttemptFinished reports the end of an upstream attempt.
@@ -47,7 +47,7 @@
 	if request.live {
 		b.pending = append(b.pending, a.Request)
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
 // sendAttempt sends the current request to an endpoint. The attempt times out when a response is no longer useful, and
--- a/balancer/current.go
+++ b/balancer/current.go
@@ -1,8 +1,8 @@
 package balancer
 
-// isSettled reports whether no decision on the current request is left: it has its final reply, or its response is
+// isRepliedOrStreaming reports whether no decision on the current request is left: it has its final reply, or its response is
 // being streamed and ends with the attempt.
-func (b *Balancer) isSettled() bool { return !b.current.live || b.current.streaming }
+func (b *Balancer) isRepliedOrStreaming() bool { return !b.current.live || b.current.streaming }
 
 func (b *Balancer) isInFlight() bool { return b.current.inFlight > 0 }
 
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -8,11 +8,11 @@
 // begin starts the handling of an event.
 func (b *Balancer) begin(now Time) { b.now, b.decisions = now, b.decisions[:0] }
 
-// settle applies rules until none matches and returns the decisions on the event.
-func (b *Balancer) settle() []Decision {
+// applyRules applies rules until none matches and returns the decisions on the event.
+func (b *Balancer) applyRules() []Decision {
 	for b.applyFirstRule() {
 	}
-	b.scheduleWake()
+	b.scheduleTimer()
 	return b.decisions
 }
 
@@ -31,8 +31,8 @@
 	return false
 }
 
-// scheduleWake sets the timer unless it already fires early enough.
-func (b *Balancer) scheduleWake() {
+// scheduleTimer sets the timer unless it already fires early enough.
+func (b *Balancer) scheduleTimer() {
 	next := b.pollAt
 	if len(b.deadlines.entries) > 0 {
 		next = min(next, b.deadlines.entries[0].at)
@@ -40,8 +40,8 @@
 	if b.originQueue.length > 0 && b.origin.nextAttemptAt > b.now {
 		next = min(next, b.origin.nextAttemptAt)
 	}
-	if next < b.wakeAt {
-		b.wakeAt = next
+	if next < b.timerAt {
+		b.timerAt = next
 		b.emit(Decision{Action: SetTimer, After: max(next-b.now, 1)})
 	}
 }
@@ -61,7 +61,7 @@
 
 func (b *Balancer) hasPending() bool { return len(b.pending) > 0 }
 
-func (b *Balancer) takePending() {
+func (b *Balancer) selectPending() {
 	b.setCurrent(b.pending[0])
 	b.pending = slices.Delete(b.pending, 0, 1)
 }
@@ -70,7 +70,7 @@
 	return len(b.deadlines.entries) > 0 && b.deadlines.entries[0].at <= b.now
 }
 
-func (b *Balancer) takeExpired() {
+func (b *Balancer) selectExpired() {
 	index := b.deadlines.entries[0].request
 	b.clearDeadline(index)
 	if b.requests[index].following {
@@ -79,7 +79,7 @@
 	b.setCurrent(index)
 }
 
-func (b *Balancer) takeQueued() {
+func (b *Balancer) selectQueued() {
 	index := b.originQueue.first()
 	b.dequeue(index)
 	b.setCurrent(index)
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -4,7 +4,7 @@
 func (b *Balancer) DelayProbe(now Time, endpoint int, until Time) []Decision {
 	b.begin(now)
 	b.endpoints[endpoint].probeAt = until
-	return b.settle()
+	return b.applyRules()
 }
 
 // awaitsOutlier reports whether the current request waits for a cache that is overdue while another cache has responded
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -35,7 +35,7 @@
 	if b.pollsList {
 		b.pollAt = now + min(second, b.pollInterval/4)
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
 func (b *Balancer) pollList() {
--- a/balancer/evacuation.go
+++ b/balancer/evacuation.go
@@ -15,7 +15,7 @@
 		}
 	}
 	b.updateRing([]int{index})
-	return b.settle()
+	return b.applyRules()
 }
 
 // isExcluded reports whether the current request's key is kept away from an endpoint.
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -8,7 +8,7 @@
 		b.requests[index].streaming = true
 		b.clearDeadline(index)
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
 // ClientGone reports that the client has disconnected and needs no reply any more.
@@ -17,14 +17,14 @@
 	if index < len(b.requests) && b.requests[index].live {
 		b.finish(index)
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
 // TimerFired reports that the timer of the latest SetTimer decision has fired.
 func (b *Balancer) TimerFired(now Time) []Decision {
 	b.begin(now)
-	b.wakeAt = never
-	return b.settle()
+	b.timerAt = never
+	return b.applyRules()
 }
 
 // UpdateEndpoints applies the endpoint list or a change to it.
@@ -42,7 +42,7 @@
 	if b.pollsList && update.First {
 		b.pollList()
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
 // removeUnlisted marks endpoints that are not listed as not ready and returns their indices.
@@ -73,7 +73,7 @@
 	for tenant := range b.quota.rates {
 		b.quota.rates[tenant] *= factor
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
 // CapDeadlines limits all deadlines to the given time, at which the process stops.
@@ -87,5 +87,5 @@
 			b.setDeadline(i, min(request.nextCheckAt, request.giveUpAt))
 		}
 	}
-	return b.settle()
+	return b.applyRules()
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -23,7 +23,7 @@
 			endpoint.suspicionAt = now
 		}
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
 // suspicion returns the probability, by the reports of peers, that an endpoint is silent. The endpoint is skipped with
--- a/balancer/instance.go
+++ b/balancer/instance.go
@@ -32,8 +32,8 @@
 	quota       tenantQuota
 	retryBudget retryBudget
 
-	wakeAt Time // time for which the timer is set
-	pollAt Time // time of the next poll of the endpoint list
+	timerAt Time // time for which the timer is set
+	pollAt  Time // time of the next poll of the endpoint list
 }
 
 // never is a time that is never reached.
@@ -54,7 +54,7 @@
 		admission:   admissionControl{capacity: initialCapacity},
 		quota:       newTenantQuota(settings.TenantQuotas, settings.OverQuotaWeight, quotaShare),
 		retryBudget: initialRetryBudget,
-		wakeAt:      never,
+		timerAt:     never,
 		pollAt:      never,
 	}
 	highestValue := 0.0
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -3,12 +3,12 @@
 // rules is the decision logic, in order of precedence; see rule.
 var rules = []rule{
 	// Select the request to decide on.
-	{selecting, (*Balancer).hasPending, (*Balancer).takePending},
-	{selecting, (*Balancer).hasExpiredDeadline, (*Balancer).takeExpired},
-	{selecting, (*Balancer).canServeQueued, (*Balancer).takeQueued},
+	{selecting, (*Balancer).hasPending, (*Balancer).selectPending},
+	{selecting, (*Balancer).hasExpiredDeadline, (*Balancer).selectExpired},
+	{selecting, (*Balancer).canServeQueued, (*Balancer).selectQueued},
 	{selecting, (*Balancer).isPollDue, (*Balancer).pollList},
 	// The request is finished, out of time, or waits for an attempt in flight.
-	{deciding, (*Balancer).isSettled, (*Balancer).releaseCurrent},
+	{deciding, (*Balancer).isRepliedOrStreaming, (*Balancer).releaseCurrent},
 	{deciding, (*Balancer).isPastDeadline, rejectFor(ReasonDeadline)},
 	{deciding, (*Balancer).mustLeaveZone, (*Balancer).cancelForEvacuation},
 	{deciding, (*Balancer).awaitsOutlier, (*Balancer).ejectOutlier},
