--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -6,7 +6,7 @@
 	}
 	endpoint := &b.endpoints[listed.Index]
 	if endpoint.Name != listed.Name {
-		b.takeOffRing(listed.Index)
+		b.removeFromRing(listed.Index)
 		*endpoint = endpointState{} // the index belonged to another endpoint, whose state does not apply
 	}
 	if listed.StartedAt == 0 && endpoint.Name == "" && !first {
--- a/balancer/hash.go
+++ b/balancer/hash.go
@@ -8,7 +8,7 @@
 // ringHash computes the positions of an endpoint's ring points: FNV-1a of the name, "#" and the number of the point,
 // followed by a mixing step, since FNV alone distributes similar names unevenly. All proxies must compute the same
 // positions.
-type ringHash struct{ ofName uint64 } // hash of the name and "#"
+type ringHash struct{ prefix uint64 } // hash of the name and "#"
 
 func newRingHash(name string) ringHash {
 	h := uint64(fnvOffset)
@@ -19,7 +19,7 @@
 }
 
 // at returns the position of the point with the given number.
-func (r ringHash) at(number int) uint64 { return mixHash(hashDigits(r.ofName, number)) }
+func (r ringHash) at(number int) uint64 { return mixHash(hashDigits(r.prefix, number)) }
 
 // hashDigits continues an FNV-1a hash with the decimal digits of a number.
 func hashDigits(h uint64, number int) uint64 {
--- a/balancer/ringmembers.go
+++ b/balancer/ringmembers.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// takeOffRing removes the points of an endpoint whose index is reassigned.
-func (b *Balancer) takeOffRing(index int) {
+// removeFromRing removes the points of an endpoint whose index is reassigned.
+func (b *Balancer) removeFromRing(index int) {
 	endpoint := &b.endpoints[index]
 	if endpoint.points > 0 {
 		b.ring.update([]ringChange{{int32(index), endpoint.Name, endpoint.points, 0}})
--- a/balancer/ringpoints.go
+++ b/balancer/ringpoints.go
@@ -11,11 +11,11 @@
 	// that is added to a bucket when it grows.
 	pointsPerBucket   = 16
 	spareBucketPoints = 8
-	// The ring is rebuilt if the mean number of points per bucket leaves these bounds, or if more than one in bulkPart of
+	// The ring is rebuilt if the mean number of points per bucket leaves these bounds, or if more than one in rebuildDivisor of
 	// its points changes, since that costs less than inserting as many points one by one.
 	maxPointsPerBucket = 4 * pointsPerBucket
 	minPointsPerBucket = pointsPerBucket / 4
-	bulkPart           = 4
+	rebuildDivisor     = 4
 )
 
 // ring is the consistent-hash ring of the ready caches. Its points are stored in buckets by the most significant bits of
@@ -55,8 +55,8 @@
 		moved += max(change.before, change.after) - min(change.before, change.after)
 		size += change.after - change.before
 	}
-	if moved*bulkPart > size || size > maxPointsPerBucket*len(r.buckets) || size < minPointsPerBucket*len(r.buckets) {
-		r.layOut(changes, size)
+	if moved*rebuildDivisor > size || size > maxPointsPerBucket*len(r.buckets) || size < minPointsPerBucket*len(r.buckets) {
+		r.rebuild(changes, size)
 		return
 	}
 	for i := range changes {
@@ -74,7 +74,7 @@
 
 func (r *ring) insert(point ringPoint) {
 	bucket := &r.buckets[point.position>>r.shift]
-	i := r.indexIn(*bucket, point)
+	i := r.search(*bucket, point)
 	if len(*bucket) == cap(*bucket) {
 		grown := make([]ringPoint, len(*bucket), len(*bucket)+spareBucketPoints)
 		copy(grown, *bucket)
@@ -85,16 +85,16 @@
 
 func (r *ring) remove(point ringPoint) {
 	bucket := &r.buckets[point.position>>r.shift]
-	if i := r.indexIn(*bucket, point); i < len(*bucket) && (*bucket)[i] == point {
+	if i := r.search(*bucket, point); i < len(*bucket) && (*bucket)[i] == point {
 		*bucket = slices.Delete(*bucket, i, i+1)
 	}
 }
 
-// indexIn returns the index of the first point in a bucket that is not before the given point. Positions are distributed
+// search returns the index of the first point in a bucket that is not before the given point. Positions are distributed
 // evenly, so the search starts at the index that equal distances would give.
-func (r *ring) indexIn(bucket []ringPoint, point ringPoint) int {
-	part := point.position << (64 - r.shift) // position within the bucket, scaled to 64 bits
-	guess, _ := bits.Mul64(part, uint64(len(bucket)))
+func (r *ring) search(bucket []ringPoint, point ringPoint) int {
+	offset := point.position << (64 - r.shift) // position within the bucket, scaled to 64 bits
+	guess, _ := bits.Mul64(offset, uint64(len(bucket)))
 	i := int(guess)
 	for i > 0 && !bucket[i-1].before(point) {
 		i--
@@ -105,8 +105,8 @@
 	return i
 }
 
-// layOut rebuilds the buckets for the ring after changes, which then has size points.
-func (r *ring) layOut(changes []ringChange, size int) {
+// rebuild rebuilds the buckets for the ring after changes, which then has size points.
+func (r *ring) rebuild(changes []ringChange, size int) {
 	before := *r
 	r.size, r.buckets = size, nil
 	if size == 0 {
@@ -114,7 +114,7 @@
 	}
 	indexBits := bits.Len(uint(size-1) / pointsPerBucket)
 	r.shift, r.buckets = 64-indexBits, make([][]ringPoint, 1<<indexBits)
-	kept, added := before.without(changes), newPositions(changes)
+	kept, added := before.unchangedPoints(changes), newPositions(changes)
 	lengths := make([]uint16, len(r.buckets))
 	for i := range kept {
 		lengths[kept[i].position>>r.shift]++
@@ -140,8 +140,8 @@
 	}
 }
 
-// without returns the points of the endpoints that are not changed.
-func (r *ring) without(changes []ringChange) []ringPoint {
+// unchangedPoints returns the points of the endpoints that are not changed.
+func (r *ring) unchangedPoints(changes []ringChange) []ringPoint {
 	changed := map[int32]bool{}
 	for i := range changes {
 		changed[changes[i].endpoint] = true
@@ -204,7 +204,7 @@
 	walk := ringWalk{ring: r, left: r.size}
 	if r.size > 0 {
 		walk.bucket = int(position >> r.shift)
-		walk.next = r.indexIn(r.buckets[walk.bucket], ringPoint{position, math.MinInt32})
+		walk.next = r.search(r.buckets[walk.bucket], ringPoint{position, math.MinInt32})
 	}
 	return walk
 }
