--- a/balancer/deadlineheap.go
+++ b/balancer/deadlineheap.go
@@ -26,14 +26,14 @@
 
 func (h *deadlineHeap) Swap(i, j int) {
 	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
-	h.place(i)
-	h.place(j)
+	h.setHeapIndex(i)
+	h.setHeapIndex(j)
 }
 
 // Push appends an entry. It is called by container/heap only.
 func (h *deadlineHeap) Push(v any) {
 	h.entries = append(h.entries, v.(deadlineEntry))
-	h.place(len(h.entries) - 1)
+	h.setHeapIndex(len(h.entries) - 1)
 }
 
 // Pop removes the last entry. It is called by container/heap only.
@@ -44,7 +44,7 @@
 	return last
 }
 
-func (h *deadlineHeap) place(i int) { (*h.requests)[h.entries[i].request].heapIndex = i }
+func (h *deadlineHeap) setHeapIndex(i int) { (*h.requests)[h.entries[i].request].heapIndex = i }
 
 // setDeadline sets the time at which a request is checked next, and replaces any earlier setting.
 func (b *Balancer) setDeadline(index int, at Time) {
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -7,9 +7,9 @@
 	return b.applyRules()
 }
 
-// awaitsOutlier reports whether the current request waits for a cache that is overdue while another cache has responded
-// since: the cache accepts requests without processing them, or is unreachable.
-func (b *Balancer) awaitsOutlier() bool {
+// isAwaitingOutlier reports whether the current request waits for a cache that is overdue while another cache has
+// responded since: the cache accepts requests without processing them, or is unreachable.
+func (b *Balancer) isAwaitingOutlier() bool {
 	request := b.current
 	if request.inFlight == 0 {
 		return false
@@ -31,7 +31,7 @@
 // sent there.
 func (e *endpointState) delayNextProbe(now Time) {
 	if e.ejected {
-		e.probeAt = now + e.ejectionTime
+		e.probeAt = now + e.probeInterval
 	}
 }
 
@@ -47,8 +47,8 @@
 // proxy: with a shorter interval each attempt at the endpoint would be a probe.
 func (b *Balancer) eject(endpoint *endpointState) {
 	shortest := max(b.noResponseTimeout, b.responseInterval())
-	endpoint.ejectionTime = min(max(2*endpoint.ejectionTime, shortest), 4*shortest)
-	endpoint.probeAt = b.now + endpoint.ejectionTime
+	endpoint.probeInterval = min(max(2*endpoint.probeInterval, shortest), 4*shortest)
+	endpoint.probeAt = b.now + endpoint.probeInterval
 	b.notifyPeers(endpoint, false)
 	if !endpoint.ejected {
 		endpoint.ejected = true
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -7,12 +7,12 @@
 	silentSince    Time // time of the latest response, or of the first attempt in flight if it was sent later
 	lastResponseAt Time
 
-	ejected      bool // receives only probes until it responds
-	probeAt      Time // earliest time of the next probe of an ejected endpoint
-	ejectionTime Time // probe interval, growing with each failure
-	errorRate    float64
-	overloads    movingMean // fraction of attempts that it rejected as overloaded
-	latency      movingMean // latency of its responses, in units of Time
+	ejected       bool // receives only probes until it responds
+	probeAt       Time // earliest time of the next probe of an ejected endpoint
+	probeInterval Time // time between probes, growing with each failure
+	errorRate     float64
+	overloads     movingAverage // fraction of attempts that it rejected as overloaded
+	latency       movingAverage // latency of its responses, in units of Time
 
 	excludedFraction float64 // fraction of the keys that are kept away because its zone is evacuated
 	evacuating       bool    // attempts in flight at the endpoint are canceled
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -21,7 +21,7 @@
 
 // restartEndpoint resets the state that belongs to an endpoint's previous process and begins its slow start.
 func (b *Balancer) restartEndpoint(endpoint *endpointState) {
-	endpoint.ejected, endpoint.ejectionTime = false, 0
+	endpoint.ejected, endpoint.probeInterval = false, 0
 	endpoint.responses, endpoint.errorRate, endpoint.suspicion = 0, 0, 0
 	endpoint.latency.value, endpoint.overloads.value = 0, 0
 	endpoint.slowStartBudget, endpoint.budgetUpdatedAt = 0, b.now
--- a/balancer/evacuation.go
+++ b/balancer/evacuation.go
@@ -3,10 +3,10 @@
 // SetExclusion keeps a fraction of the keys, 0 to 1, away from an endpoint whose zone is evacuated. The keys are the
 // same at every proxy. The capacity is reduced to that of the remaining endpoints. If cancel is set, attempts in flight
 // at the endpoint are canceled.
-func (b *Balancer) SetExclusion(now Time, index int, part float64, cancel bool) []Decision {
+func (b *Balancer) SetExclusion(now Time, index int, fraction float64, cancel bool) []Decision {
 	b.begin(now)
 	endpoint := &b.endpoints[index]
-	endpoint.excludedFraction, endpoint.evacuating = part, cancel
+	endpoint.excludedFraction, endpoint.evacuating = fraction, cancel
 	if cancel && endpoint.inFlight > 0 {
 		for i := range b.requests {
 			if request := &b.requests[i]; request.live && request.inFlight > 0 && request.endpoint == index {
@@ -24,10 +24,10 @@
 		float64(mixHash(mixHash(b.current.Key))>>40) < endpoint.excludedFraction*(1<<24)
 }
 
-// mustLeaveZone reports whether the current request's attempt in flight must be canceled because its zone is evacuated,
+// mustEvacuate reports whether the current request's attempt in flight must be canceled because its zone is evacuated,
 // or because it is overdue in a zone that returns to service. The route must allow sending it elsewhere: endpoints
 // outside the group of a deduped request would execute a duplicate.
-func (b *Balancer) mustLeaveZone() bool {
+func (b *Balancer) mustEvacuate() bool {
 	request := b.current
 	if request.inFlight == 0 || request.evacuated || !b.mayCancel {
 		return false
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -65,11 +65,11 @@
 // SetQuotaShare sets the fraction of all proxies' traffic that this proxy may send, in (0, 1]; initially it is the same
 // for all proxies. The adapted concurrency limit at the origin is scaled with it, so that the sum over all proxies does
 // not change.
-func (b *Balancer) SetQuotaShare(now Time, part float64) []Decision {
+func (b *Balancer) SetQuotaShare(now Time, quotaShare float64) []Decision {
 	b.begin(now)
-	factor := part / b.quotaShare
-	b.quotaShare = part
-	b.origin.scale(part, factor)
+	factor := quotaShare / b.quotaShare
+	b.quotaShare = quotaShare
+	b.origin.scale(quotaShare, factor)
 	for tenant := range b.quota.rates {
 		b.quota.rates[tenant] *= factor
 	}
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -14,10 +14,10 @@
 	lowWater      float64 // half of the initial limit
 	lastGoodLimit float64 // limit at the latest completed response of the origin
 	inFlight      int
-	nextAttemptAt Time       // no attempt is sent before
-	reducedAt     Time       // time of the latest reduction of limit
-	latency       movingMean // mean latency of its responses, in units of Time
-	constrained   bool       // whether the limit was last logged as below lowWater
+	nextAttemptAt Time          // no attempt is sent before
+	reducedAt     Time          // time of the latest reduction of limit
+	latency       movingAverage // mean latency of its responses, in units of Time
+	constrained   bool          // whether the limit was last logged as below lowWater
 }
 
 func newOriginLimiter(shortestObjective Time, quotaShare float64) originLimiter {
--- a/balancer/origin.go
+++ b/balancer/origin.go
@@ -21,11 +21,11 @@
 // expectedLatency returns the mean latency of the origin's responses.
 func (o *originLimiter) expectedLatency() Time { return Time(o.latency.value) }
 
-// observeAnswer records the latency of a response. The weight of a response grows with the time since the previous one:
-// with many proxies each one sends to the origin only once in a second or two, and would otherwise detect an overload
-// when it is over. A response that is not late raises the limit to at least half of the last good limit, since the
-// timeouts before it were caused by the network path to the origin.
-func (o *originLimiter) observeAnswer(now, latency Time) {
+// observeResponse records the latency of a response. The weight of a response grows with the time since the previous
+// one: with many proxies each one sends to the origin only once in a second or two, and would otherwise detect an
+// overload when it is over. A response that is not late raises the limit to at least half of the last good limit, since
+// the timeouts before it were caused by the network path to the origin.
+func (o *originLimiter) observeResponse(now, latency Time) {
 	o.latency.observe(now, float64(latency), 1.0/16, 4*second)
 	if latency <= 2*o.objective {
 		o.limit = max(o.limit, o.lastGoodLimit/2)
@@ -67,7 +67,7 @@
 
 func (b *Balancer) canServeQueued() bool { return b.originQueue.length > 0 && b.originHasCapacity() }
 
-func (b *Balancer) originIsOpen() bool { return b.current.needsOrigin && b.originHasCapacity() }
+func (b *Balancer) canSendToOrigin() bool { return b.current.needsOrigin && b.originHasCapacity() }
 
 // originQueueTooLong reports whether the response would be too late if the current request were queued now.
 func (b *Balancer) originQueueTooLong() bool {
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -30,7 +30,7 @@
 func (b *Balancer) recordLatency(attempt *finishedAttempt) {
 	switch {
 	case attempt.endpoint.Origin && attempt.Outcome == Completed:
-		b.origin.observeAnswer(b.now, attempt.Latency)
+		b.origin.observeResponse(b.now, attempt.Latency)
 	case !attempt.endpoint.Origin && !attempt.request.needsOrigin && !attempt.failedProbe:
 		b.caches.lateRate.observe(b.now, indicator(attempt.late), 1.0/64, 10*second)
 	}
@@ -114,7 +114,7 @@
 		endpoint.errorRate > ejectionErrorRatio*b.caches.errorRate {
 		b.eject(endpoint)
 	} else if endpoint.ejected && !isError {
-		endpoint.ejected, endpoint.ejectionTime = false, 0
+		endpoint.ejected, endpoint.probeInterval = false, 0
 		b.logf("endpoint %d responds again", endpoint.Index)
 	}
 }
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -35,10 +35,10 @@
 		endpoint.visitMark = b.visitMark
 		isOwner := unvisited == b.ring.caches
 		unvisited--
-		isFull := isOwner && b.exceedsBoundedLoad(endpoint) || b.isLikelyFull(endpoint)
+		isOverloaded := isOwner && b.exceedsBoundedLoad(endpoint) || b.isLikelyOverloaded(endpoint)
 		switch {
 		case !b.isEligible(index):
-		case b.isUnavailable(endpoint) || isFull || b.isSuspected(endpoint):
+		case b.isUnavailable(endpoint) || isOverloaded || b.isSuspected(endpoint):
 			if lastResort == noEndpoint {
 				lastResort = index
 			}
@@ -95,17 +95,18 @@
 // time. The next endpoint clockwise then serves the request if its latency is less than half of that.
 func (b *Balancer) isOverloadedOwner(endpoint *endpointState) bool {
 	// the fraction is lower for an endpoint that this proxy rarely sends to, but not so low that keys leave it by chance
-	seldom := observationWeight(0, b.responseInterval(), 10*second)
-	share := max(b.overloadedOwnerFraction-0.15*seldom, 0.3)
+	rarity := observationWeight(0, b.responseInterval(), 10*second)
+	fraction := max(b.overloadedOwnerFraction-0.15*rarity, 0.3)
 	remaining := float64(min(b.current.giveUpAt, b.current.objectiveAt) - b.now)
-	return endpoint.latency.value > share*remaining &&
+	return endpoint.latency.value > fraction*remaining &&
 		b.now-endpoint.latency.updatedAt < max(3*b.noResponseTimeout, 2*b.responseInterval())
 }
 
-// isLikelyFull returns true at random for an endpoint that rejected more than a third of this proxy's latest attempts as
-// overloaded, and always for one that rejected nearly all. A hot key thus spreads clockwise over as many endpoints as it
-// needs, without a failed attempt at each of them. The fraction decays with time, so that the endpoint is tried again.
-func (b *Balancer) isLikelyFull(endpoint *endpointState) bool {
+// isLikelyOverloaded returns true at random for an endpoint that rejected more than a third of this proxy's latest
+// attempts as overloaded, and always for one that rejected nearly all. A hot key thus spreads clockwise over as many
+// endpoints as it needs, without a failed attempt at each of them. The fraction decays with time, so that the endpoint
+// is tried again.
+func (b *Balancer) isLikelyOverloaded(endpoint *endpointState) bool {
 	if endpoint.overloads.value < 0.35 {
 		return false
 	}
--- a/balancer/ringpoints.go
+++ b/balancer/ringpoints.go
@@ -11,8 +11,8 @@
 	// that is added to a bucket when it grows.
 	pointsPerBucket   = 16
 	spareBucketPoints = 8
-	// The ring is rebuilt if the mean number of points per bucket leaves these bounds, or if more than one in rebuildDivisor of
-	// its points changes, since that costs less than inserting as many points one by one.
+	// The ring is rebuilt if the mean number of points per bucket leaves these bounds, or if more than one in
+	// rebuildDivisor of its points changes, since that costs less than inserting as many points one by one.
 	maxPointsPerBucket = 4 * pointsPerBucket
 	minPointsPerBucket = pointsPerBucket / 4
 	rebuildDivisor     = 4
@@ -105,7 +105,7 @@
 	return i
 }
 
-// rebuild rebuilds the buckets for the ring after changes, which then has size points.
+// rebuild replaces the buckets by new ones for the ring after changes, which then has size points.
 func (r *ring) rebuild(changes []ringChange, size int) {
 	before := *r
 	r.size, r.buckets = size, nil
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -10,8 +10,8 @@
 	// The request is finished, out of time, or waits for an attempt in flight.
 	{deciding, (*Balancer).isRepliedOrStreaming, (*Balancer).releaseCurrent},
 	{deciding, (*Balancer).isPastDeadline, rejectFor(ReasonDeadline)},
-	{deciding, (*Balancer).mustLeaveZone, (*Balancer).cancelForEvacuation},
-	{deciding, (*Balancer).awaitsOutlier, (*Balancer).ejectOutlier},
+	{deciding, (*Balancer).mustEvacuate, (*Balancer).cancelForEvacuation},
+	{deciding, (*Balancer).isAwaitingOutlier, (*Balancer).ejectOutlier},
 	{deciding, (*Balancer).mayHedge, (*Balancer).hedge},
 	{deciding, (*Balancer).isInFlight, (*Balancer).awaitAttempt},
 	// Requests that must not be sent again.
@@ -24,7 +24,7 @@
 	{deciding, (*Balancer).mayFollow, (*Balancer).follow},
 	// Cache misses and writes are sent to the origin, within its concurrency limit.
 	{deciding, (*Balancer).lacksOrigin, rejectFor(ReasonNoOrigin)},
-	{deciding, (*Balancer).originIsOpen, (*Balancer).sendToOrigin},
+	{deciding, (*Balancer).canSendToOrigin, (*Balancer).sendToOrigin},
 	{deciding, (*Balancer).originQueueTooLong, rejectFor(ReasonOriginQueue)},
 	{deciding, (*Balancer).needsOrigin, (*Balancer).enqueueForOrigin},
 	// All other requests are sent to the caches on the ring.
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -22,11 +22,11 @@
 // rate at which a warm endpoint responds to this proxy.
 func (b *Balancer) refillSlowStartBudget(endpoint *endpointState, age Time) {
 	c := &b.slowStart
-	share := c.initialFraction + (1-c.initialFraction)*float64(max(age, 0))/float64(c.period)
+	fraction := c.initialFraction + (1-c.initialFraction)*float64(max(age, 0))/float64(c.period)
 	warmRate := b.cacheResponseRate() / float64(max(b.ring.caches, 1))
 	// an endpoint that serves one request at a time completes one per mean latency; no endpoint has a lower capacity
-	minRate := b.quotaShare * share * float64(second) / max(b.caches.meanLatency, 1)
-	rate := max(0.5*c.overloadMultiple*share*warmRate, minRate)
+	minRate := b.quotaShare * fraction * float64(second) / max(b.caches.meanLatency, 1)
+	rate := max(0.5*c.overloadMultiple*fraction*warmRate, minRate)
 	endpoint.slowStartBudget += rate * float64(b.now-endpoint.budgetUpdatedAt) / float64(second)
 	endpoint.budgetUpdatedAt = b.now
 	// all proxies may spend their saved budgets at once, so the budget is limited to what the window allows; one attempt
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -17,14 +17,14 @@
 	errorSamples         = 64
 )
 
-// movingMean is a moving average in which the weight of a sample grows with the time since the previous one.
-type movingMean struct {
+// movingAverage is a moving average in which the weight of a sample grows with the time since the previous one.
+type movingAverage struct {
 	value     float64
 	updatedAt Time
 }
 
 // observe adds a sample. Its weight is the time since the previous sample divided by span, within [minWeight, 1].
-func (m *movingMean) observe(now Time, value, minWeight float64, span Time) {
+func (m *movingAverage) observe(now Time, value, minWeight float64, span Time) {
 	m.value += (value - m.value) * observationWeight(minWeight, now-m.updatedAt, span)
 	m.updatedAt = now
 }
@@ -64,9 +64,9 @@
 	inFlight       int     // attempts of this proxy at caches
 	meanLatency    float64 // in units of Time, as is meanDeviation
 	meanDeviation  float64
-	samples        float64    // number of samples behind the two means, at most latencySamples
-	lateRate       movingMean // fraction of late responses
-	errorRate      float64    // fraction of responses that are server errors
+	samples        float64       // number of samples behind the two means, at most latencySamples
+	lateRate       movingAverage // fraction of late responses
+	errorRate      float64       // fraction of responses that are server errors
 	lastResponseAt Time
 	rate           responseRate
 }
