--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -21,7 +21,7 @@
 		got = append(got, first)
 	}
 	if want := []int{9, 8, 3, 2}; !slices.Equal(got, want) {
-		t.Errorf("served %v, want %v", got, want)
+		t.Errorf("got order %v, want %v", got, want)
 	}
 }
 
@@ -35,9 +35,9 @@
 	b.setDeadline(1, 20)
 	b.setDeadline(2, 30)
 	b.setDeadline(3, 20)
-	b.setDeadline(0, 10) // moved
+	b.setDeadline(0, 10) // replaces the earlier deadline
 	b.clearDeadline(2)
-	b.clearDeadline(2) // has none any more
+	b.clearDeadline(2) // no deadline set: must have no effect
 	var got []int
 	for len(b.deadlines.entries) > 0 {
 		index := b.deadlines.entries[0].request
@@ -45,11 +45,11 @@
 		got = append(got, index)
 	}
 	if want := []int{0, 1, 3}; !slices.Equal(got, want) {
-		t.Errorf("expired %v, want %v", got, want)
+		t.Errorf("got expiry order %v, want %v", got, want)
 	}
 	for i := range b.requests {
 		if b.requests[i].heapIndex != -1 {
-			t.Errorf("request %d has index %d in an empty heap", i, b.requests[i].heapIndex)
+			t.Errorf("request %d: got heap index %d after removal, want -1", i, b.requests[i].heapIndex)
 		}
 	}
 }
--- a/balancer/ring_test.go
+++ b/balancer/ring_test.go
@@ -20,7 +20,7 @@
 	return cmp.Or(cmp.Compare(p.position, q.position), cmp.Compare(p.endpoint, q.endpoint))
 }
 
-// ringOf returns a ring of points, laid out for as many in the mean as a bucket holds.
+// ringOf returns a ring with the given points and sixteen buckets.
 func ringOf(before []ringPoint) *ring {
 	r := &ring{shift: 60, buckets: make([][]ringPoint, 16)}
 	for _, point := range before {
@@ -36,14 +36,14 @@
 func TestRingInsertKeepsPointsInOrder(t *testing.T) {
 	const high = uint64(1) << 63
 	tests := map[string]struct{ before, added []ringPoint }{
-		"nothing to an empty ring": {nil, nil},
-		"to an empty ring":         {nil, points(9, 3, 5)},
-		"nothing":                  {points(1, 2, 3), nil},
-		"before all":               {points(10, 20), points(2, 1)},
-		"behind all":               {points(10, 20), points(31, 30)},
-		"between":                  {points(10, 20, 30), points(25, 5, 15, 35)},
-		"at the same positions":    {points(10, 20, 30), points(10, 20, 30)},
-		"in several buckets":       {points(10, high+20, high+30), points(high+25, 5, high/2, ^uint64(0))},
+		"none to an empty ring": {nil, nil},
+		"to an empty ring":      {nil, points(9, 3, 5)},
+		"none":                  {points(1, 2, 3), nil},
+		"before all":            {points(10, 20), points(2, 1)},
+		"after all":             {points(10, 20), points(31, 30)},
+		"between":               {points(10, 20, 30), points(25, 5, 15, 35)},
+		"at the same positions": {points(10, 20, 30), points(10, 20, 30)},
+		"in several buckets":    {points(10, high+20, high+30), points(high+25, 5, high/2, ^uint64(0))},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -54,14 +54,14 @@
 				r.insert(point)
 			}
 			if !slices.Equal(r.allPoints(), want) {
-				t.Errorf("points %v, want %v", r.allPoints(), want)
+				t.Errorf("got points %v, want %v", r.allPoints(), want)
 			}
 		})
 	}
 }
 
-// However endpoints come, leave and change their weight, one by one or all at once, the ring has the points that a
-// sorted list of them has, and a walk visits them in that order.
+// The ring must contain the same points as a sorted list, and a walk must visit them in that order, after any sequence
+// in which endpoints join, leave and change their weights, one by one or many at once.
 func TestRingFollowsChangesAsASortedListDoes(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	r, counts := &ring{}, map[int32]int{}
@@ -76,7 +76,7 @@
 		}
 		slices.SortFunc(want, comparePoints)
 		if !slices.Equal(r.allPoints(), want) || r.size != len(want) {
-			t.Fatalf("%d points, %d are counted, of %d: not those of a sorted list", len(r.allPoints()), r.size, len(want))
+			t.Fatalf("got %d points and size %d, want the %d points of the sorted list", len(r.allPoints()), r.size, len(want))
 		}
 		checkWalk(t, r, want, random.Uint64())
 	}
@@ -84,7 +84,7 @@
 
 func endpointName(endpoint int32) string { return fmt.Sprint("cache-", endpoint) }
 
-// drawChanges draws changes of the numbers of points, of one endpoint mostly, and applies them to counts.
+// drawChanges draws random changes of the numbers of points, usually of one endpoint, and applies them to counts.
 func drawChanges(random *rand.Rand, counts map[int32]int) (changes []ringChange) {
 	const endpoints = 40
 	changed := 1
@@ -109,11 +109,11 @@
 	for i := range points {
 		want := int(points[(max(first, 0)+i)%len(points)].endpoint)
 		if got, ok := walk.step(); !ok || got != want {
-			t.Fatalf("step %d from %#x leads to %d, %v, want %d", i, position, got, ok, want)
+			t.Fatalf("step %d from %#x: got %d, %v, want %d, true", i, position, got, ok, want)
 		}
 	}
 	if _, ok := walk.step(); ok {
-		t.Fatalf("a walk from %#x goes on behind all points", position)
+		t.Fatalf("walk from %#x continues after all points", position)
 	}
 }
 
@@ -126,19 +126,19 @@
 		"before all":    {0, 0},
 		"at a point":    {20, 1},
 		"after a point": {21, 2},
-		"behind all":    {31, 0},
+		"after all":     {31, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			walk := r.walkFrom(test.position)
 			if got, ok := walk.step(); !ok || got != test.want {
-				t.Errorf("endpoint %d, want %d", got, test.want)
+				t.Errorf("got endpoint %d, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// All proxies, of this version and of others, have to place an endpoint at the same points.
+// All proxies, whatever their version, must place the points of an endpoint at the same positions.
 func TestRingPositionStaysTheSame(t *testing.T) {
 	tests := map[string]struct {
 		name  string
@@ -153,13 +153,13 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			if got := newRingHash(test.name).at(test.index); got != test.want {
-				t.Errorf("position %#x, want %#x", got, test.want)
+				t.Errorf("got position %#x, want %#x", got, test.want)
 			}
 		})
 	}
 }
 
-// listOf returns the whole list of a fleet of caches.
+// listOf returns the complete endpoint list of a fleet of caches.
 func listOf(caches int) EndpointUpdate {
 	update := EndpointUpdate{Complete: true, First: true}
 	for i := range caches {
@@ -170,7 +170,7 @@
 
 var fleetSizes = []int{200, 3200, 12800}
 
-func BenchmarkWholeList(b *testing.B) {
+func BenchmarkCompleteList(b *testing.B) {
 	for _, caches := range fleetSizes {
 		b.Run(fmt.Sprint(caches), func(b *testing.B) {
 			list := listOf(caches)
@@ -182,36 +182,36 @@
 	}
 }
 
-func BenchmarkChangedLine(b *testing.B) {
+func BenchmarkChangedEndpoint(b *testing.B) {
 	for _, caches := range fleetSizes {
 		b.Run(fmt.Sprint(caches), func(b *testing.B) {
 			balancer := New(0, Settings{}, 1)
 			balancer.UpdateEndpoints(1, listOf(caches))
-			line := Endpoint{Index: 7, Name: endpointName(7), Weight: 1}
+			endpoint := Endpoint{Index: 7, Name: endpointName(7), Weight: 1}
 			for i := 0; b.Loop(); i++ {
-				line.Ready = i%2 == 1
-				balancer.UpdateEndpoints(2, EndpointUpdate{Endpoints: []Endpoint{line}})
+				endpoint.Ready = i%2 == 1
+				balancer.UpdateEndpoints(2, EndpointUpdate{Endpoints: []Endpoint{endpoint}})
 			}
 		})
 	}
 }
 
-// BenchmarkReplaced has all caches leave and come back, one by one.
+// BenchmarkReplaced measures the updates when all caches leave and return, one by one.
 func BenchmarkReplaced(b *testing.B) {
 	for _, caches := range fleetSizes {
 		b.Run(fmt.Sprint(caches), func(b *testing.B) {
 			balancer, list := New(0, Settings{}, 1), listOf(caches)
 			balancer.UpdateEndpoints(1, list)
 			for i := 0; b.Loop(); i++ {
-				line := list.Endpoints[i/2%caches]
-				line.Ready = i%2 == 1
-				balancer.UpdateEndpoints(2, EndpointUpdate{Endpoints: []Endpoint{line}})
+				endpoint := list.Endpoints[i/2%caches]
+				endpoint.Ready = i%2 == 1
+				balancer.UpdateEndpoints(2, EndpointUpdate{Endpoints: []Endpoint{endpoint}})
 			}
 		})
 	}
 }
 
-func BenchmarkLookUp(b *testing.B) {
+func BenchmarkLookup(b *testing.B) {
 	for _, caches := range fleetSizes {
 		b.Run(fmt.Sprint(caches), func(b *testing.B) {
 			balancer := New(0, Settings{}, 1)
--- a/balancer/scenario_test.go
+++ b/balancer/scenario_test.go
@@ -9,36 +9,38 @@
 	"woodproxy/internal/testscript"
 )
 
-// A scenario is a text file of lines. MS is the clock in milliseconds.
+// TestScenarios runs each file in scenarios on a balancer of its own. A line has one of these forms, in which MS is the
+// time in milliseconds.
 //
-//	settings WORD=VALUE ...              settings of the balancer; a bare word switches on
-//	route NAME WORD=VALUE ...            before the first line that has a time
+//	settings WORD=VALUE ...              settings of the balancer; a word without a value enables a setting
+//	route NAME WORD=VALUE ...            must precede the first line with a time
 //	MS list [complete] NAME[:draining|:gone|:since=MS|:weight=W|:zone=N|:at=NAME] ...
 //	                                     the endpoint list; origins are named o1, o2 ...
-//	                                     at: has the index of one long gone
+//	                                     at: reuses the index of an endpoint that is long gone
 //	MS arrive REQUEST ROUTE [key=N] [remaining=MS] [write] [client-retry] [tenant=N]
 //	MS arrive-each FROM-TO ROUTE [remaining=MS] [write] [client-retry]
-//	                                     a request for each index, its key is the index
+//	                                     one request per index, with the index as key
 //	MS rounds N FROM-TO ROUTE every=MS latency=MS
-//	                                     all of them arrive, are sent and completed, N times
+//	                                     all requests arrive, are sent and completed, N times
 //	MS end REQUEST|FROM-TO OUTCOME [latency=MS] [answered] [at=ENDPOINT]
-//	                                     the latest attempt of the request ended, or the one at an endpoint
+//	                                     the latest attempt of the request ends, or that at an endpoint
 //	MS client-gone REQUEST | wake | list-failed | streaming REQUEST
 //	MS peer-report ENDPOINT silent|responds
-//	MS exclude ENDPOINT PART [cancel]    its zone is evacuated; what is in flight there is cancelled
-//	MS delay-probe ENDPOINT MS           its next probe comes no sooner
-//	MS quota-share PART                  of what all proxies may send
+//	MS exclude ENDPOINT FRACTION [cancel]
+//	                                     the zone is evacuated; cancel: attempts in flight are canceled
+//	MS delay-probe ENDPOINT MS           the next probe is not sent before the given time
+//	MS quota-share FRACTION              fraction of all proxies' traffic that this proxy may send
 //	> send REQUEST ENDPOINT | notify PEER ENDPOINT silent|responds | cancel REQUEST
 //	> reject REQUEST | error REQUEST | poll
-//	                                     exactly these, in order
+//	                                     exactly these decisions, in this order
 //	> log TEXT | no-log TEXT
-//	> count ACT [ENDPOINT] OP N          how many came of one line
+//	> count ACTION [ENDPOINT] OP N       number of decisions of one kind from one line
 //
-// ENDPOINT is a name, $X (bound at its first use, no cache twice) or any. SetTimer decisions are left out, and logs
-// unless they are asked for.
+// ENDPOINT is a name, any, or a variable $X, which is bound at its first use; no two variables are bound to the same
+// cache. SetTimer decisions are omitted. Log lines are compared only by log and no-log.
 func TestScenarios(t *testing.T) {
 	testscript.RunFiles(t, "scenarios/*.txt", func(t *testing.T) testscript.Runner {
-		return &player{
+		return &scenarioRunner{
 			t: t, routes: map[string]int{}, endpoints: map[string]int{}, bound: map[string]string{},
 			lastSent: map[int]balancer.Decision{}, settings: balancer.Settings{
 				Proxies: 1, MaxAttempts: 5, Tick: 50, SlowStart: 100000,
@@ -48,8 +50,8 @@
 	})
 }
 
-// player plays one scenario on a balancer.
-type player struct {
+// scenarioRunner runs one scenario on a balancer.
+type scenarioRunner struct {
 	t             *testing.T
 	line          int
 	settings      balancer.Settings
@@ -59,44 +61,44 @@
 	endpointNames []string                  // by index
 	bound         map[string]string         // endpoint names by variable
 	lastSent      map[int]balancer.Decision // by request
-	decisions     []string                  // of the last line, as scenarios write them
+	decisions     []string                  // of the last line, as text in the form of scenario lines
 	logs          []string                  // of the last line
-	counted       bool                      // the last line's decisions were counted
+	counted       bool                      // the decisions of the last line were counted
 }
 
-// RunStep plays one line.
-func (p *player) RunStep(line int, words []string) {
-	p.line = line
+// RunStep runs one line of the scenario.
+func (r *scenarioRunner) RunStep(line int, words []string) {
+	r.line = line
 	switch words[0] {
 	case "settings":
-		p.addSettings(testscript.ParseArguments(words[1:]))
+		r.addSettings(testscript.ParseArguments(words[1:]))
 		return
 	case "route":
-		p.addRoute(words[1], testscript.ParseArguments(words[2:]))
+		r.addRoute(words[1], testscript.ParseArguments(words[2:]))
 		return
 	case ">":
-		p.expect(words[1:])
+		r.expect(words[1:])
 		return
 	}
-	p.expectNothingLeft()
+	r.expectNoDecisionsLeft()
 	now := milliseconds(words[0])
-	if p.balancer == nil {
-		p.balancer = balancer.New(now, p.settings, 1)
+	if r.balancer == nil {
+		r.balancer = balancer.New(now, r.settings, 1)
 	}
-	play, ok := events[words[1]]
+	handle, ok := events[words[1]]
 	if !ok {
-		p.fail("unknown event %q", words[1])
+		r.fail("unknown event %q", words[1])
 		return
 	}
-	play(p, now, words[2:])
+	handle(r, now, words[2:])
 }
 
-// Finish checks what the last line left.
-func (p *player) Finish() { p.expectNothingLeft() }
+// Finish fails if the last line caused decisions that the scenario does not expect.
+func (r *scenarioRunner) Finish() { r.expectNoDecisionsLeft() }
 
-func (p *player) fail(format string, args ...any) {
-	p.t.Helper()
-	p.t.Errorf("line %d: %s", p.line, fmt.Sprintf(format, args...))
+func (r *scenarioRunner) fail(format string, args ...any) {
+	r.t.Helper()
+	r.t.Errorf("line %d: %s", r.line, fmt.Sprintf(format, args...))
 }
 
 func milliseconds(s string) balancer.Time { return balancer.Time(testscript.ParseNumber(s) * 10) }
@@ -126,8 +128,8 @@
 	"cancelled": balancer.Cancelled, "not-sent": balancer.NotSent, "cache-miss": balancer.CacheMiss,
 }
 
-func (p *player) addSettings(options map[string]string) {
-	s := &p.settings
+func (r *scenarioRunner) addSettings(options map[string]string) {
+	s := &r.settings
 	for name, value := range options {
 		switch name {
 		case "proxies":
@@ -155,14 +157,14 @@
 		case "over-quota-weight":
 			s.OverQuotaWeight = testscript.ParseNumber(value)
 		default:
-			p.fail("unknown setting %q", name)
+			r.fail("unknown setting %q", name)
 		}
 	}
 }
 
-func (p *player) addRoute(name string, options map[string]string) {
-	p.routes[name] = len(p.settings.Routes)
-	p.settings.Routes = append(p.settings.Routes, balancer.Route{
+func (r *scenarioRunner) addRoute(name string, options map[string]string) {
+	r.routes[name] = len(r.settings.Routes)
+	r.settings.Routes = append(r.settings.Routes, balancer.Route{
 		Objective: milliseconds(options["objective"]), Timeout: milliseconds(options["overall"]),
 		Value: testscript.ParseNumber(options["value"]), LateValue: testscript.ParseNumber(options["late-value"]),
 		DedupWindow: milliseconds(options["window"]), Effect: effects[options["effect"]], Group: groups[options["group"]],
