--- a/internal/settings/jsonvalue/jsonvalue.go
+++ b/internal/settings/jsonvalue/jsonvalue.go
@@ -1,5 +1,5 @@
-// Package jsonvalue reads typed values out of parsed JSON: of the settings object and of the simulator's messages. A
-// nil value and null both mean that the value is absent. Callers add to the errors which value was wrong.
+// Package jsonvalue reads typed values from parsed JSON: from the settings object and the simulator's messages. A value
+// is absent if it is nil or null. The errors do not contain the path of the value; callers add it.
 package jsonvalue
 
 import (
@@ -12,22 +12,22 @@
 var (
 	// ErrMissing reports that a required value is absent.
 	ErrMissing = errors.New("missing")
-	// ErrMistyped reports that a value is of another type than expected, or a number that is not finite.
+	// ErrMistyped reports that a value has another type than expected, or is a number that is not finite.
 	ErrMistyped = errors.New("mistyped")
-	// ErrOutOfRange reports that a value is of the right type, but none of the permitted ones.
+	// ErrOutOfRange reports that a value has the right type but is not permitted.
 	ErrOutOfRange = errors.New("out of its range")
 )
 
-// Presence tells whether a value may be absent.
+// Presence states whether a value may be absent.
 type Presence bool
 
-// An absent value is an error where it is Required, and read as the zero value of its type where it is Optional.
+// An absent value is an error if it is Required. If it is Optional, it is read as the zero value of its type.
 const (
 	Optional Presence = false
 	Required Presence = true
 )
 
-// IsAbsent reports whether there is no value, or null.
+// IsAbsent reports whether a value is nil or null.
 func IsAbsent(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
 
 // absent returns the error for an absent value.
@@ -62,7 +62,7 @@
 	return string(text), nil
 }
 
-// Flag reads a boolean; an absent one is false.
+// Flag reads a boolean. An absent value is false.
 func Flag(v *fastjson.Value) (bool, error) {
 	if IsAbsent(v) {
 		return false, nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object, a JSON object that the simulator's messages and the proxy's configuration
-// share, into the settings of a balancer and the names behind the balancer's indices.
+// Package settings reads the settings object, a JSON object that is part of the simulator's messages and of the proxy's
+// configuration, into the settings of a balancer and the maps of names to the balancer's indices.
 package settings
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxCount is the upper bound of the numbers of proxies and of attempts.
+// maxCount is the maximum number of proxies and of attempts.
 const maxCount = 1e6
 
 var (
@@ -20,7 +20,7 @@
 	errDuplicate = errors.New("doubled")
 )
 
-// Values of the settings for balancer's enumerations.
+// Values in the settings for the balancer's enumerations.
 var (
 	effects = map[string]balancer.Effect{
 		"pure": balancer.Retriable, "token": balancer.Deduped, "side_effect": balancer.NonRetriable,
@@ -30,21 +30,21 @@
 	}
 )
 
-// Settings holds the settings. It is not modified once it is read, so that any goroutine may use it.
+// Settings holds the settings. It is not modified after Read, so any goroutine may use it.
 type Settings struct {
 	Balancer          balancer.Settings
-	Routes            map[string]int // the balancer's index of a route, by name
-	Tenants           map[string]int // the balancer's index of a tenant, by name
-	Zones             map[string]int // the balancer's index of a zone, by name
-	OriginKind        string         // kind of the endpoints that are origins; "": there are none
-	ServerIdleTimeout balancer.Time  // servers close a connection that has been idle for this long; 0: not known
-	LongestTimeout    balancer.Time  // the longest overall timeout of a route
-	LocalZone         string         // zone of this proxy; "": not known
+	Routes            map[string]int // balancer's index of a route, by name
+	Tenants           map[string]int // balancer's index of a tenant, by name
+	Zones             map[string]int // balancer's index of a zone, by name
+	OriginKind        string         // kind of the endpoints that are origins; empty: there are none
+	ServerIdleTimeout balancer.Time  // idle time after which servers close a connection; 0: unknown
+	LongestTimeout    balancer.Time  // longest overall timeout of all routes
+	LocalZone         string         // zone of this proxy; empty: unknown
 }
 
-// Read reads the settings object. Unknown keys are skipped. The error names the first value that is wrong by its
-// path, and wraps one of the errors of package jsonvalue where that says why; with an error the result must not be
-// used.
+// Read reads the settings object. Unknown keys are ignored. The error contains the path of the first invalid value and
+// wraps an error of package jsonvalue if one describes the cause. If Read returns an error, the returned settings must
+// not be used.
 func Read(v *fastjson.Value) (*Settings, error) {
 	var err error
 	r := reader{root: v, err: &err}
@@ -64,7 +64,7 @@
 	return s, err
 }
 
-// readBalancerSettings reads the settings that are a value each.
+// readBalancerSettings reads the balancer settings that are single values.
 func readBalancerSettings(r reader) balancer.Settings {
 	const optional, required = jsonvalue.Optional, jsonvalue.Required
 	return balancer.Settings{
@@ -86,17 +86,18 @@
 		SlowStartInitialFraction:  r.number(required, "rules", "cold-from"),
 		SlowStartOverloadMultiple: r.number(required, "rules", "fall-multiple"),
 		FetchCost:                 r.number(optional, "fees", "origin"),
-		ApproximateWeights:        readRoughWeights(r),
+		ApproximateWeights:        readApproximateWeights(r),
 	}
 }
 
-// readRoughWeights reports whether the endpoints' weights are approximate.
-func readRoughWeights(r reader) bool {
+// readApproximateWeights reports whether the endpoints' weights are approximate.
+func readApproximateWeights(r reader) bool {
 	weights := r.text(jsonvalue.Optional, "weights")
 	return weights == "rough" || weights == "nominal"
 }
 
-// readMembership reads how the list of endpoints is received, and this proxy's number among its peers.
+// readMembership reads how the endpoint list is received, the number of peers to notify and this proxy's number among
+// the peers.
 func (s *Settings) readMembership(r reader) {
 	switch r.text(jsonvalue.Optional, "membership-mode") {
 	case "", "ask", "push":
@@ -112,8 +113,8 @@
 	}
 }
 
-// readOrigin reads the fee of a fetch from the origin and the origin's kind, which is given by its index among the
-// shapes.
+// readOrigin checks the cost of a fetch from the origin and reads the origin's kind, which is given by its index in the
+// list of shapes.
 func (s *Settings) readOrigin(r reader) {
 	if s.Balancer.FetchCost < 0 {
 		r.fail([]string{"fees", "origin"}, jsonvalue.ErrOutOfRange)
@@ -132,7 +133,7 @@
 	for i, tenant := range r.list(jsonvalue.Optional, "tenants") {
 		entry := r.entry("tenants", i, tenant)
 		s.Tenants[entry.text(jsonvalue.Required, "name")] = i
-		s.Balancer.TenantQuotas = append(s.Balancer.TenantQuotas, entry.notNegative(jsonvalue.Optional, "allowance-per-s"))
+		s.Balancer.TenantQuotas = append(s.Balancer.TenantQuotas, entry.nonNegative(jsonvalue.Optional, "allowance-per-s"))
 	}
 }
 
@@ -158,9 +159,9 @@
 	route := balancer.Route{
 		Objective:   r.positiveDuration("latency-objective"),
 		Timeout:     r.positiveDuration("overall-timeout"),
-		Value:       r.notNegative(jsonvalue.Required, "value"),
+		Value:       r.nonNegative(jsonvalue.Required, "value"),
 		LateValue:   r.number(jsonvalue.Optional, "overdue-value"),
-		DedupWindow: FromMilliseconds(r.notNegative(jsonvalue.Optional, "dedup-window")),
+		DedupWindow: FromMilliseconds(r.nonNegative(jsonvalue.Optional, "dedup-window")),
 	}
 	if route.LateValue < 0 || route.LateValue > 1 {
 		r.fail([]string{"overdue-value"}, jsonvalue.ErrOutOfRange)
@@ -176,8 +177,9 @@
 	return route
 }
 
-// FromMilliseconds converts milliseconds to balancer's time, which counts tenths of a millisecond, and rounds to the nearest.
+// FromMilliseconds converts milliseconds to the balancer's time, which is in tenths of a millisecond, and rounds to the
+// nearest value.
 func FromMilliseconds(ms float64) balancer.Time {
-	const limit = 1e14 // milliseconds; far beyond any time, and within an int64 in tenths
+	const limit = 1e14 // milliseconds; larger than any real time, and within the range of int64 in tenths
 	return balancer.Time(math.Round(min(max(ms, -limit), limit) * 10))
 }
--- a/internal/settings/settings_golden_test.go
+++ b/internal/settings/settings_golden_test.go
@@ -14,12 +14,12 @@
 	"github.com/valyala/fastjson"
 )
 
-// Words of the settings for balancer's enumerations.
+// Values in the settings for the balancer's enumerations.
 var (
-	effectWords = map[balancer.Effect]string{
+	effectNames = map[balancer.Effect]string{
 		balancer.Retriable: "pure", balancer.Deduped: "token", balancer.NonRetriable: "side_effect",
 	}
-	groupWords = map[balancer.Group]string{balancer.GroupAll: "all", balancer.GroupZone: "zone", balancer.GroupCell: "cell"}
+	groupNames = map[balancer.Group]string{balancer.GroupAll: "all", balancer.GroupZone: "zone", balancer.GroupCell: "cell"}
 )
 
 // readSettings reads a settings object from its JSON text.
@@ -31,7 +31,7 @@
 	return Read(object)
 }
 
-// describeSettings lists what was read under the names of the file's keys, or the error.
+// describeSettings formats the settings in a JSON text, or the error.
 func describeSettings(text string) string {
 	settings, err := readSettings(text)
 	if err != nil {
@@ -40,17 +40,17 @@
 	return formatSettings(settings)
 }
 
-// settingsReport lists settings, one a line.
+// settingsReport collects one line for each setting.
 type settingsReport struct{ text strings.Builder }
 
 func (r *settingsReport) line(label string, value any) {
 	fmt.Fprintf(&r.text, "%s = %v\n", label, value)
 }
 
-// formatSettings lists the settings, one a line. The labels are those of the file, whatever the fields are called.
+// formatSettings formats the settings, one per line. The labels are the keys of the file, whatever the fields are called.
 func formatSettings(settings *Settings) string {
 	var report settingsReport
-	report.site(settings)
+	report.general(settings)
 	report.limits(settings)
 	report.names(settings)
 	for i := range settings.Balancer.Routes {
@@ -60,36 +60,36 @@
 	return report.text.String()
 }
 
-func (r *settingsReport) site(settings *Settings) {
-	terms := &settings.Balancer
-	r.line("replicas-of-me", terms.Proxies)
-	r.line("me", terms.Self)
-	r.line("limits.may-tell, peers told", terms.PeerCount)
-	r.line("beyond-share-value", terms.OverQuotaWeight)
+func (r *settingsReport) general(settings *Settings) {
+	s := &settings.Balancer
+	r.line("replicas-of-me", s.Proxies)
+	r.line("me", s.Self)
+	r.line("limits.may-tell, number of notified peers", s.PeerCount)
+	r.line("beyond-share-value", s.OverQuotaWeight)
 	r.line("locality", settings.LocalZone)
-	r.line("membership-mode is ask", terms.PollsList)
-	r.line("weights are rough", terms.ApproximateWeights)
-	r.line("tick", milliseconds(terms.Tick))
-	r.line("goal.punctual", terms.LateIsFailure)
-	r.line("family-info.mode is aside", terms.CacheAside)
+	r.line("membership-mode is ask", s.PollsList)
+	r.line("weights are rough", s.ApproximateWeights)
+	r.line("tick", milliseconds(s.Tick))
+	r.line("goal.punctual", s.LateIsFailure)
+	r.line("family-info.mode is aside", s.CacheAside)
 	r.line("family-info.origin-kind, name of the shape", settings.OriginKind)
 }
 
 func (r *settingsReport) limits(settings *Settings) {
-	terms := &settings.Balancer
+	s := &settings.Balancer
 	r.line("limits.conn-idle", milliseconds(settings.ServerIdleTimeout))
-	r.line("limits.connect-timeout", milliseconds(terms.ConnectTimeout))
-	r.line("limits.may-cancel", terms.MayCancel)
-	r.line("limits.parallel-tries", terms.ParallelAttempts)
-	r.line("limits.max-upstream-tries", terms.MaxAttempts)
-	r.line("limits.retry-after", terms.RetryAfter)
-	r.line("limits.max-retry-after", milliseconds(terms.MaxRetryAfter))
-	r.line("rules.ask-every", milliseconds(terms.PollInterval))
-	r.line("rules.cold", milliseconds(terms.SlowStart))
-	r.line("rules.fall", milliseconds(terms.SlowStartOverloadWindow))
-	r.line("rules.cold-from", terms.SlowStartInitialFraction)
-	r.line("rules.fall-multiple", terms.SlowStartOverloadMultiple)
-	r.line("fees.origin", terms.FetchCost)
+	r.line("limits.connect-timeout", milliseconds(s.ConnectTimeout))
+	r.line("limits.may-cancel", s.MayCancel)
+	r.line("limits.parallel-tries", s.ParallelAttempts)
+	r.line("limits.max-upstream-tries", s.MaxAttempts)
+	r.line("limits.retry-after", s.RetryAfter)
+	r.line("limits.max-retry-after", milliseconds(s.MaxRetryAfter))
+	r.line("rules.ask-every", milliseconds(s.PollInterval))
+	r.line("rules.cold", milliseconds(s.SlowStart))
+	r.line("rules.fall", milliseconds(s.SlowStartOverloadWindow))
+	r.line("rules.cold-from", s.SlowStartInitialFraction)
+	r.line("rules.fall-multiple", s.SlowStartOverloadMultiple)
+	r.line("fees.origin", s.FetchCost)
 }
 
 func (r *settingsReport) names(settings *Settings) {
@@ -106,14 +106,14 @@
 	r.line(label("value"), route.Value)
 	r.line(label("overdue-value"), route.LateValue)
 	r.line(label("dedup-window"), milliseconds(route.DedupWindow))
-	r.line(label("effect"), effectWords[route.Effect])
-	r.line(label("group"), groupWords[route.Group])
+	r.line(label("effect"), effectNames[route.Effect])
+	r.line(label("group"), groupNames[route.Group])
 }
 
-// milliseconds formats balancer's time, which counts tenths, as the file has it.
+// milliseconds formats the balancer's time, which is in tenths of a millisecond, in milliseconds, the unit of the file.
 func milliseconds(t balancer.Time) string { return fmt.Sprintf("%v ms", float64(t)/10) }
 
-// namesByIndex lists names in the order of their indices.
+// namesByIndex returns the names in the order of their indices.
 func namesByIndex(indices map[string]int) []string {
 	var entries []string
 	for name, index := range indices {
@@ -131,14 +131,16 @@
 	goldentest.Text(t, "settings_defaults.golden", describeSettings(goldentest.Read(t, "settings_required_keys.json")))
 }
 
-// Each key alone determines the value of its name, and a required key that is absent is reported by its name.
+// Leaving out a key must change only the value that it determines; leaving out a required key must give an error with
+// its name.
 func TestEachKeyLeftOut(t *testing.T) {
 	for _, name := range []string{"settings_every_key", "settings_required_keys"} {
 		goldentest.Text(t, name+"_left_out.golden", goldentest.LeaveOutEachKey(goldentest.Read(t, name+".json"), describeSettings))
 	}
 }
 
-// What changes in the settings when a value takes another of its permitted words, is null, or is given twice.
+// The golden file contains the settings that change if a value is replaced by another permitted one or by null, or is
+// given twice.
 func TestVariantsOfValues(t *testing.T) {
 	every := goldentest.Read(t, "settings_every_key.json")
 	var report strings.Builder
