--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -60,8 +60,8 @@
 	b.awaitAttempt()
 }
 
-// reject ends the current request without a response: with a rejection if a retry by the client is harmless, otherwise
-// with an error. It cancels the attempts in flight if the settings allow that.
+// reject ends the current request at once and without a response: with a rejection if a retry by the client is harmless,
+// otherwise with an error. It cancels the attempts in flight if the settings allow that.
 func (b *Balancer) reject(reason Reason) {
 	request := b.current
 	route := &b.routes[request.Route]
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -37,7 +37,8 @@
 
 func (b *Balancer) ejectOutlier() { b.eject(&b.endpoints[b.current.endpoint]) }
 
-// isUnavailable reports whether an endpoint is ejected and its next probe is not due or one is in flight.
+// isUnavailable reports whether an endpoint is ejected and either its next probe is not due or an attempt is in flight
+// there.
 func (b *Balancer) isUnavailable(endpoint *endpointState) bool {
 	return endpoint.ejected && (b.now < endpoint.probeAt || endpoint.inFlight > 0)
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -15,7 +15,7 @@
 	attempt.responded = a.Outcome.isResponse()
 	attempt.failedProbe = unanswered && endpoint.ejected
 	tookLong := a.Latency > b.routes[request.Route].latencyBudget*3/4
-	// an attempt that was canceled after this time is as late as one that timed out by itself
+	// an attempt that was canceled because its time was up is as late as one whose own timeout expired first
 	attempt.late = a.Outcome == TimedOut ||
 		tookLong && (a.Outcome == Completed || a.Outcome == CacheMiss || a.Outcome == Cancelled)
 	endpoint.overloads.observe(b.now, indicator(a.Outcome == Overloaded), 1.0/8, 3*second)
