--- a/internal/rowcodec/decode.go
+++ b/internal/rowcodec/decode.go
@@ -20,7 +20,7 @@
 // Decode decodes a body into a value, as msgpack.Unmarshal does. The library panics on some bodies, such as one with nil
 // for a time; that is an error as well.
 func Decode(body []byte, value any) (err error) {
-	if err := check(body); err != nil {
+	if err := checkLengths(body); err != nil {
 		return err
 	}
 	defer func() {
@@ -31,8 +31,8 @@
 	return msgpack.Unmarshal(body, value)
 }
 
-// check returns ErrMalformed unless the first element of a body lies within it, with all that it contains.
-func check(body []byte) error {
+// checkLengths returns ErrMalformed unless the first element of a body lies within it, with all that it contains.
+func checkLengths(body []byte) error {
 	s := scanner{rest: body}
 	return s.skip(0)
 }
@@ -95,9 +95,9 @@
 	case format < 0xc0:
 		return shape{bytes: uint64(format & 0x1f)}, nil
 	case format < formatExt8:
-		return s.sized(1<<(format-formatBin8), func(n uint64) shape { return shape{bytes: n} })
+		return s.readLength(1<<(format-formatBin8), func(n uint64) shape { return shape{bytes: n} })
 	case format < formatFloat32:
-		return s.sized(1<<(format-formatExt8), func(n uint64) shape { return shape{bytes: n + 1} })
+		return s.readLength(1<<(format-formatExt8), func(n uint64) shape { return shape{bytes: n + 1} })
 	case format < formatUint8:
 		return shape{bytes: 4 << (format - formatFloat32)}, nil
 	case format < formatInt8:
@@ -107,15 +107,15 @@
 	case format < formatStr8:
 		return shape{bytes: 1 + 1<<(format-formatFixExt1)}, nil
 	case format < formatArray16:
-		return s.sized(1<<(format-formatStr8), func(n uint64) shape { return shape{bytes: n} })
+		return s.readLength(1<<(format-formatStr8), func(n uint64) shape { return shape{bytes: n} })
 	case format < formatMap16:
-		return s.sized(2<<(format-formatArray16), func(n uint64) shape { return shape{elements: n} })
+		return s.readLength(2<<(format-formatArray16), func(n uint64) shape { return shape{elements: n} })
 	}
-	return s.sized(2<<(format-formatMap16), func(n uint64) shape { return shape{elements: 2 * n} })
+	return s.readLength(2<<(format-formatMap16), func(n uint64) shape { return shape{elements: 2 * n} })
 }
 
-// sized reads a length of so many bytes.
-func (s *scanner) sized(width int, of func(length uint64) shape) (shape, error) {
+// readLength reads a length of so many bytes.
+func (s *scanner) readLength(width int, toShape func(length uint64) shape) (shape, error) {
 	if len(s.rest) < width {
 		return shape{}, ErrMalformed
 	}
@@ -123,9 +123,9 @@
 	s.rest = s.rest[width:]
 	switch width {
 	case 1:
-		return of(uint64(length[0])), nil
+		return toShape(uint64(length[0])), nil
 	case 2:
-		return of(uint64(binary.BigEndian.Uint16(length))), nil
+		return toShape(uint64(binary.BigEndian.Uint16(length))), nil
 	}
-	return of(uint64(binary.BigEndian.Uint32(length))), nil
+	return toShape(uint64(binary.BigEndian.Uint32(length))), nil
 }
--- a/internal/rowcodec/decode_test.go
+++ b/internal/rowcodec/decode_test.go
@@ -49,7 +49,7 @@
 }
 
 // What the library encodes is decoded to the same value, whatever formats it uses.
-func TestDecodeTakesEveryFormat(t *testing.T) {
+func TestDecodeSupportsEveryFormat(t *testing.T) {
 	want := filledFormats()
 	encoded, err := msgpack.Marshal(&want)
 	if err != nil {
@@ -66,24 +66,24 @@
 }
 
 // A body that is cut off anywhere is refused before anything is allocated for it.
-func TestDecodeRefusesCutBody(t *testing.T) {
+func TestDecodeRejectsTruncatedBody(t *testing.T) {
 	small := everyFormat{Ints: []int64{1, 1 << 40}, Texts: []string{"some text"}, Bytes: [][]byte{{1, 2, 3}}, At: time.Unix(1, 0)}
 	encoded, err := msgpack.Marshal(&small)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range len(encoded) {
-		if err := check(encoded[:n]); !errors.Is(err, ErrMalformed) {
+		if err := checkLengths(encoded[:n]); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%d of %d bytes: %v", n, len(encoded), err)
 		}
 	}
-	if err := check(encoded); err != nil {
+	if err := checkLengths(encoded); err != nil {
 		t.Error(err)
 	}
 }
 
 // Lengths beyond the end, of every kind, and nesting without end are refused.
-func TestDecodeRefusesLengthsBeyondEnd(t *testing.T) {
+func TestDecodeRejectsLengthsBeyondEnd(t *testing.T) {
 	for _, body := range [][]byte{
 		{0x9f},
 		{0x8f},
@@ -117,7 +117,7 @@
 		{},
 		[]byte(strings.Repeat("\x91", 1000) + "\x01"),
 	} {
-		if err := check(body); !errors.Is(err, ErrMalformed) {
+		if err := checkLengths(body); !errors.Is(err, ErrMalformed) {
 			t.Errorf("% x: %v", body, err)
 		}
 	}
