--- a/replica/antientropy.go
+++ b/replica/antientropy.go
@@ -14,8 +14,8 @@
 	noPeerSyncTimeout = 2 * Second // catching up ends after this time if no peer is live
 	syncTimeout       = 5 * Second // and after this time in any case
 
-	maxHelped    = 4 // digests that differ are answered this often in a helpInterval; others get a busy reply
-	helpInterval = Second / 2
+	maxDigestReplies    = 4 // digests that differ are answered this often in a helpInterval; others get a busy reply
+	digestReplyInterval = Second / 2
 )
 
 // catchUp is the state of a proxy that fetches what it missed, while it was down or suspended, from a sync peer.
@@ -54,8 +54,8 @@
 // complete reports whether the sync peer has sent all rows that it was asked for.
 func (c *catchUp) complete() bool { return c.versionsReceived && len(c.requested) == 0 }
 
-// expect notes the rows that the sync peer was asked for.
-func (c *catchUp) expect(now Time, ids []uint64) {
+// expectRows notes the rows that the sync peer was asked for.
+func (c *catchUp) expectRows(now Time, ids []uint64) {
 	clear(c.requested)
 	for _, id := range ids {
 		c.requested[id] = true
@@ -93,9 +93,9 @@
 	return elapsed >= syncTimeout || elapsed >= noPeerSyncTimeout && livePeers == 0
 }
 
-// choose picks one of the peers at random as the sync peer. It returns false if there is none; the next tick tries
+// choosePeer picks one of the peers at random as the sync peer. It returns false if there is none; the next tick tries
 // again.
-func (c *catchUp) choose(now Time, peers []*member) bool {
+func (c *catchUp) choosePeer(now Time, peers []*member) bool {
 	c.versionsReceived = false
 	if len(peers) == 0 {
 		c.polledAt = now - syncReplyTimeout + 1 // due at the next tick, and not once more in this one
@@ -107,30 +107,30 @@
 	return true
 }
 
-// helpLimiter limits how many peers are helped to catch up at a time: when a whole fleet restarts, its proxies poll all
+// digestReplyLimiter limits how many peers are helped to catch up at a time: when a whole fleet restarts, its proxies poll all
 // of the others and not one.
-type helpLimiter struct {
+type digestReplyLimiter struct {
 	intervalStart Time
 	count         int
 }
 
-func (l *helpLimiter) allow(now Time) bool {
-	if now-l.intervalStart > helpInterval {
+func (l *digestReplyLimiter) allow(now Time) bool {
+	if now-l.intervalStart > digestReplyInterval {
 		l.intervalStart, l.count = now, 0
 	}
 	l.count++
-	return l.count <= maxHelped
+	return l.count <= maxDigestReplies
 }
 
 // HandleDigest handles a peer's digest. The reply has the versions of the rows in the buckets that differ, unless too many
 // peers were helped lately.
-func (s *Store) HandleDigest(now Time, from string, sums Digest) []Decision {
+func (s *Store) HandleDigest(now Time, from string, digest Digest) []Decision {
 	s.begin(now)
-	differing, versions := s.rows.differingVersions(&sums)
+	differing, versions := s.rows.differingVersions(&digest)
 	switch {
 	case differing == 0:
 		s.out.add(Decision{Action: ActionReplyInSync, Peer: from})
-	case !s.helpLimit.allow(s.now):
+	case !s.digestReplies.allow(s.now):
 		s.out.add(Decision{Action: ActionReplyBusy, Peer: from})
 	default:
 		s.out.add(Decision{Action: ActionSendVersions, Peer: from, Buckets: differing, Versions: versions})
@@ -155,7 +155,7 @@
 	s.sendRows(from, s.rows.missingFrom(buckets, theirs, s.now))
 	syncing := s.sync.syncingWith(from)
 	if syncing {
-		s.sync.expect(now, request)
+		s.sync.expectRows(now, request)
 	}
 	if len(request) > 0 {
 		s.out.add(Decision{Action: ActionRequestRows, Peer: from, RowIDs: request})
@@ -213,7 +213,7 @@
 		s.finishCatchUp(fmt.Sprintf("timed out after %.1f s with %d live peers", elapsed, peers.live))
 		return
 	}
-	if s.sync.choose(s.now, peers.preferred) {
+	if s.sync.choosePeer(s.now, peers.preferred) {
 		s.out.add(Decision{Action: ActionSendDigest, Peer: s.sync.peer, Digest: s.rows.digest()})
 	}
 }
--- a/replica/antientropy_test.go
+++ b/replica/antientropy_test.go
@@ -60,28 +60,28 @@
 	a.ApplyEndpointList(0, true, 1, rows)
 	b.ApplyEndpointList(0, true, 1, rows)
 	a.ApplyEndpointList(0, false, 2, []Row{{Key: "c7", Rank: EndpointDraining}})
-	reply := withAct(a.HandleDigest(0, "b", b.Digest()), ActionSendVersions)[0]
+	reply := withAction(a.HandleDigest(0, "b", b.Digest()), ActionSendVersions)[0]
 	if count := len(reply.Versions); count > 100 {
 		t.Errorf("%d versions for one row", count)
 	}
 	decisions := b.HandleVersions(0, "a", reply.Buckets, reply.Versions)
-	request := withAct(decisions, ActionRequestRows)
-	if len(request) != 1 || len(request[0].RowIDs) != 1 || len(withAct(decisions, ActionSendRows)) != 1 {
+	request := withAction(decisions, ActionRequestRows)
+	if len(request) != 1 || len(request[0].RowIDs) != 1 || len(withAction(decisions, ActionSendRows)) != 1 {
 		t.Errorf("%+v", decisions)
 	}
 }
 
 // A few peers are helped at a time; the others are told at once to poll another.
-func TestHelpIsLimited(t *testing.T) {
+func TestDigestRepliesAreLimited(t *testing.T) {
 	replica := newReplica("a", 9)
 	replica.ApplyEndpointList(0, true, 1, []Row{{Key: "c1"}})
 	helped, busy := 0, 0
 	for range 10 {
 		decisions := replica.HandleDigest(0, "b", Digest{})
-		helped += len(withAct(decisions, ActionSendVersions))
-		busy += len(withAct(decisions, ActionReplyBusy))
+		helped += len(withAction(decisions, ActionSendVersions))
+		busy += len(withAction(decisions, ActionReplyBusy))
 	}
-	if helped != maxHelped || busy != 10-maxHelped {
+	if helped != maxDigestReplies || busy != 10-maxDigestReplies {
 		t.Errorf("%d helped, %d not", helped, busy)
 	}
 }
@@ -114,10 +114,10 @@
 func TestFirstLivePeerIsPolledAtOnce(t *testing.T) {
 	a, b := newReplica("a", 2), newReplica("b", 2)
 	a.Tick(0)
-	for _, d := range withAct(b.Tick(0), ActionGossip) {
+	for _, d := range withAction(b.Tick(0), ActionGossip) {
 		a.HandleRows(Second/20, "b", d.Rows)
 	}
-	if polls := withAct(a.Tick(testTick), ActionSendDigest); len(polls) != 1 || polls[0].Peer != "b" {
+	if polls := withAction(a.Tick(testTick), ActionSendDigest); len(polls) != 1 || polls[0].Peer != "b" {
 		t.Errorf("%+v", polls)
 	}
 }
--- a/replica/expiry.go
+++ b/replica/expiry.go
@@ -3,11 +3,11 @@
 // expiryInterval is the time between two walks of the rows and members for what has expired.
 const expiryInterval = Second / 5
 
-func (s *Store) expiryDue() bool { return s.now >= s.expireAt }
+func (s *Store) expiryDue() bool { return s.now >= s.nextExpiry }
 
 // expire removes expired rows and members, finds who has departed, and has silent proxies probed.
 func (s *Store) expire() {
-	s.expireAt = s.now + expiryInterval
+	s.nextExpiry = s.now + expiryInterval
 	s.rows.expire(s.now, s.members.forgetHeartbeat)
 	s.members.removeIf(func(other *member) bool {
 		departure := s.rows.departure(other.name)
--- a/replica/heartbeat.go
+++ b/replica/heartbeat.go
@@ -43,7 +43,7 @@
 
 // sentHeartbeat identifies a heartbeat of this proxy, and says when it was written.
 type sentHeartbeat struct {
-	count       int64
+	sequence    int64
 	incarnation int64
 	at          Time
 }
@@ -60,9 +60,9 @@
 }
 
 // find returns the heartbeat of an incarnation by its count.
-func (l *heartbeatLog) find(count, incarnation int64) (sentHeartbeat, bool) {
+func (l *heartbeatLog) find(sequence, incarnation int64) (sentHeartbeat, bool) {
 	for _, sent := range l.recent {
-		if sent.count == count && sent.incarnation == incarnation {
+		if sent.sequence == sequence && sent.incarnation == incarnation {
 			return sent, true
 		}
 	}
@@ -94,7 +94,7 @@
 	if err != nil {
 		panic(err) // all fields are plain values, which can always be encoded
 	}
-	s.heartbeats.record(sentHeartbeat{count: s.ownRows + 1, incarnation: s.settings.Incarnation, at: s.now})
+	s.heartbeats.record(sentHeartbeat{sequence: s.ownSequence + 1, incarnation: s.settings.Incarnation, at: s.now})
 	s.writeOwn(Row{
 		Kind: KindHeartbeat, Key: s.settings.Name, TTL: heartbeatTTL * s.members.heartbeatInterval(), Body: body,
 	})
@@ -112,8 +112,8 @@
 	}
 }
 
-// heartbeatReceived takes a heartbeat that was just stored: this proxy's own, or another's.
-func (s *Store) heartbeatReceived(heartbeat *storedRow) {
+// handleHeartbeat takes a heartbeat that was just stored: this proxy's own, or another's.
+func (s *Store) handleHeartbeat(heartbeat *storedRow) {
 	sender := s.members.findOrAdd(heartbeat.Key)
 	if sender == nil {
 		return
--- a/replica/helpers_test.go
+++ b/replica/helpers_test.go
@@ -13,10 +13,10 @@
 	}, 1)
 }
 
-// withAct returns the decisions with an act.
-func withAct(decisions []Decision, act Action) (found []Decision) {
+// withAction returns the decisions with an act.
+func withAction(decisions []Decision, action Action) (found []Decision) {
 	for _, d := range decisions {
-		if d.Action == act {
+		if d.Action == action {
 			found = append(found, d)
 		}
 	}
--- a/replica/members.go
+++ b/replica/members.go
@@ -58,11 +58,11 @@
 
 // membership lists the proxies of the fleet, this one included, with what their heartbeats and departure records say.
 type membership struct {
-	settings *Settings
-	rows     *rowTable
-	all      []*member // by name
-	byName   map[string]*member
-	views    [16]uint64 // latest hashes of this proxy's view of the fleet, the newest first
+	settings    *Settings
+	rows        *rowTable
+	all         []*member // by name
+	byName      map[string]*member
+	recentViews [16]uint64 // latest hashes of this proxy's view of the fleet, the newest first
 }
 
 func newMembership(settings *Settings, rows *rowTable) *membership {
@@ -173,26 +173,26 @@
 		}
 		view ^= xxhash.Sum64String(other.name) * uint64(2*state+1)
 	}
-	if m.views[0] != view {
-		copy(m.views[1:], m.views[:len(m.views)-1])
-		m.views[0] = view
+	if m.recentViews[0] != view {
+		copy(m.recentViews[1:], m.recentViews[:len(m.recentViews)-1])
+		m.recentViews[0] = view
 	}
 	return view
 }
 
 // recordHeartbeat takes the latest heartbeat of a proxy.
 func (m *membership) recordHeartbeat(other *member, heartbeat *storedRow, report *Heartbeat) {
-	sameView := report.ViewHash != 0 && slices.Contains(m.views[:], report.ViewHash)
+	sameView := report.ViewHash != 0 && slices.Contains(m.recentViews[:], report.ViewHash)
 	other.acknowledged = other.acknowledged && heartbeat.Epoch == other.incarnation || sameView
 	other.heartbeat, other.report, other.incarnation = heartbeat, *report, heartbeat.Epoch
 }
 
-// forgetAcknowledgements is called when this proxy takes a new incarnation.
-func (m *membership) forgetAcknowledgements() {
+// resetAcknowledgements is called when this proxy takes a new incarnation.
+func (m *membership) resetAcknowledgements() {
 	for _, other := range m.all {
 		other.acknowledged = false
 	}
-	clear(m.views[:])
+	clear(m.recentViews[:])
 }
 
 // allAcknowledged reports whether each proxy of the fleet is known, and has departed or acknowledged this incarnation.
--- a/replica/members_test.go
+++ b/replica/members_test.go
@@ -7,7 +7,7 @@
 	replica := newReplica("a", 1)
 	replica.SetYielded(true)
 	for now := Time(0); now < 5*Second; now += testTick {
-		if sent := withAct(replica.Tick(now), ActionGossip); len(sent) > 0 {
+		if sent := withAction(replica.Tick(now), ActionGossip); len(sent) > 0 {
 			t.Fatalf("%+v", sent[0].Rows)
 		}
 	}
@@ -28,13 +28,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a, b := newReplica("a", 2), newReplica("b", 2)
-			a.HandleRows(0, "b", withAct(b.Tick(0), ActionGossip)[0].Rows)
+			a.HandleRows(0, "b", withAction(b.Tick(0), ActionGossip)[0].Rows)
 			if b.SetYielded(c.successor); c.successor {
-				a.HandleRows(Second, "b", withAct(b.AnnounceDeparture(Second), ActionGossip)[0].Rows)
+				a.HandleRows(Second, "b", withAction(b.AnnounceDeparture(Second), ActionGossip)[0].Rows)
 			}
 			probedAt := Time(0)
 			for now := Second; now < 9*Second && probedAt == 0; now += testTick {
-				if len(withAct(a.Tick(now), ActionProbe)) > 0 {
+				if len(withAction(a.Tick(now), ActionProbe)) > 0 {
 					probedAt = now
 				}
 			}
@@ -52,23 +52,23 @@
 }
 
 func (p *pair) deliver(from, to *Store, decisions []Decision) {
-	for _, d := range withAct(decisions, ActionGossip) {
+	for _, d := range withAction(decisions, ActionGossip) {
 		to.HandleRows(p.now, from.settings.Name, d.Rows)
 	}
 }
 
-// connected lets time pass for both replicas.
-func (p *pair) connected(span Time) {
+// advanceConnected lets time pass for both replicas.
+func (p *pair) advanceConnected(span Time) {
 	for end := p.now + span; p.now < end; p.now += testTick {
 		p.deliver(p.b, p.a, p.b.tickCopy(p.now))
 		p.deliver(p.a, p.b, p.a.tickCopy(p.now))
 	}
 }
 
-// partitioned lets time pass for a alone, and returns how many probes a decided on.
-func (p *pair) partitioned(span Time) (probes int) {
+// advancePartitioned lets time pass for a alone, and returns how many probes a decided on.
+func (p *pair) advancePartitioned(span Time) (probes int) {
 	for end := p.now + span; p.now < end; p.now += testTick {
-		probes += len(withAct(p.a.Tick(p.now), ActionProbe))
+		probes += len(withAction(p.a.Tick(p.now), ActionProbe))
 	}
 	return probes
 }
@@ -77,29 +77,29 @@
 // process with the same name is back.
 func TestQuotaOfDepartedProxyIsTakenOver(t *testing.T) {
 	p := &pair{a: newReplica("a", 2), b: newReplica("b", 2)}
-	if p.connected(8 * Second); p.a.QuotaShare() != 0.5 || p.b.QuotaShare() != 0.5 {
+	if p.advanceConnected(8 * Second); p.a.QuotaShare() != 0.5 || p.b.QuotaShare() != 0.5 {
 		t.Fatalf("shares %v %v", p.a.QuotaShare(), p.b.QuotaShare())
 	}
-	if probes := p.partitioned(8 * Second); p.a.QuotaShare() != 0.5 || probes == 0 {
+	if probes := p.advancePartitioned(8 * Second); p.a.QuotaShare() != 0.5 || probes == 0 {
 		t.Errorf("silent: share %v, %d probes", p.a.QuotaShare(), probes)
 	}
 	if p.a.ConnectionRefused(p.now, "b", 7); p.a.members.incarnationEnded(p.a.members.byName["b"]) {
 		t.Error("an incarnation that never was is believed to have ended")
 	}
 	p.a.ConnectionRefused(p.now, "b", 1)
-	if p.partitioned(Second); p.a.QuotaShare() != 0.5 {
+	if p.advancePartitioned(Second); p.a.QuotaShare() != 0.5 {
 		t.Errorf("before the takeover delay: %v", p.a.QuotaShare())
 	}
-	if p.partitioned(p.a.quota.leaseDuration()); p.a.QuotaShare() != 1-0.25/2 {
+	if p.advancePartitioned(p.a.quota.leaseDuration()); p.a.QuotaShare() != 1-0.25/2 {
 		t.Errorf("after it: %v", p.a.QuotaShare())
 	}
 	p.b = newReplica("b", 2)
 	p.b.settings.Incarnation, p.b.tickedAt = 2, p.now
 	p.deliver(p.b, p.a, p.b.tickCopy(p.now))
-	if p.connected(Second / 2); p.a.QuotaShare() != 0.5 || p.b.QuotaShare() > 0.25/2 {
+	if p.advanceConnected(Second / 2); p.a.QuotaShare() != 0.5 || p.b.QuotaShare() > 0.25/2 {
 		t.Errorf("back: %v %v", p.a.QuotaShare(), p.b.QuotaShare())
 	}
-	if p.connected(8 * Second); p.a.QuotaShare() != 0.5 || p.b.QuotaShare() != 0.5 {
+	if p.advanceConnected(8 * Second); p.a.QuotaShare() != 0.5 || p.b.QuotaShare() != 0.5 {
 		t.Errorf("confirmed again: %v %v", p.a.QuotaShare(), p.b.QuotaShare())
 	}
 }
--- a/replica/quota.go
+++ b/replica/quota.go
@@ -10,14 +10,14 @@
 
 	maxLeases = 6 // in a heartbeat
 
-	// retainedPart is the part of its base quota that a proxy never leases out.
-	retainedPart = 0.5
+	// retainedFraction is the part of its base quota that a proxy never leases out.
+	retainedFraction = 0.5
 
-	// minLeasePart is the smallest lease to one proxy, as a part of the base quota.
-	minLeasePart = 0.02
+	// minLeaseFraction is the smallest lease to one proxy, as a part of the base quota.
+	minLeaseFraction = 0.02
 
-	// minSparePart is the part of its base quota that has to be spare before any is leased out. Less may be chance.
-	minSparePart = 0.25
+	// minSpareFraction is the part of its base quota that has to be spare before any is leased out. Less may be chance.
+	minSpareFraction = 0.25
 
 	// minFleetDemand is the demand of the fleet, in requests a second, below which nothing is leased out.
 	minFleetDemand = 1
@@ -42,7 +42,7 @@
 // lease is a part of a quota that is leased out or leased in.
 type lease struct {
 	borrower  string
-	part      float64
+	share     float64
 	expiresAt Time
 }
 
@@ -94,14 +94,14 @@
 	if q.atFloor() {
 		return q.base()
 	}
-	share := max(q.base()-q.leasedOutPart(now), 0)
+	share := max(q.base()-q.leasedOutShare(now), 0)
 	for _, lender := range q.members.all { // in order, or sums would differ in their last digits
 		leased, ok := q.leasedIn[lender.name]
 		if !ok {
 			continue
 		}
 		if now < leased.expiresAt {
-			share += leased.part
+			share += leased.share
 		} else {
 			delete(q.leasedIn, lender.name)
 		}
@@ -129,16 +129,16 @@
 }
 
 // overcommitted reports whether more is leased out than this proxy has.
-func (q *quota) overcommitted(now Time) bool { return q.base() < q.leasedOutPart(now) }
+func (q *quota) overcommitted(now Time) bool { return q.base() < q.leasedOutShare(now) }
 
-// leasedOutPart drops expired leases and returns the sum of the others. Of several leases to one proxy that proxy uses
+// leasedOutShare drops expired leases and returns the sum of the others. Of several leases to one proxy that proxy uses
 // one only, the largest at most.
-func (q *quota) leasedOutPart(now Time) float64 {
+func (q *quota) leasedOutShare(now Time) float64 {
 	q.leasedOut = slices.DeleteFunc(q.leasedOut, func(l lease) bool { return now >= l.expiresAt })
 	sum := 0.0
 	for i := range q.leasedOut {
 		if q.largestToBorrower(i) {
-			sum += q.leasedOut[i].part
+			sum += q.leasedOut[i].share
 		}
 	}
 	return sum
@@ -151,7 +151,7 @@
 		if other.borrower != candidate.borrower {
 			continue
 		}
-		if other.part > candidate.part || other.part == candidate.part && i < index {
+		if other.share > candidate.share || other.share == candidate.share && i < index {
 			return false
 		}
 	}
@@ -166,8 +166,8 @@
 	}
 	total := q.fleetDemand(now)
 	base := q.base()
-	spare := base - max(retainedPart*base, q.demand/max(total, minDivisor))
-	if spare < minSparePart*base || total < minFleetDemand {
+	spare := base - max(retainedFraction*base, q.demand/max(total, minDivisor))
+	if spare < minSpareFraction*base || total < minFleetDemand {
 		return nil
 	}
 	demands := fleetDemands{quota: q, base: base, total: total, now: now}
@@ -180,10 +180,10 @@
 	first := q.random.IntN(len(q.members.all))
 	for i := range q.members.all {
 		borrower := q.members.all[(first+i)%len(q.members.all)]
-		part := spare * demands.deficit(borrower) / max(totalDeficit, minDivisor)
-		if part >= minLeasePart*base && len(granted) < maxLeases {
-			granted = append(granted, QuotaLease{Borrower: borrower.name, Share: part, HeartbeatSequence: borrower.heartbeat.Sequence})
-			q.leasedOut = append(q.leasedOut, lease{borrower: borrower.name, part: part, expiresAt: now + q.leaseDuration()})
+		share := spare * demands.deficit(borrower) / max(totalDeficit, minDivisor)
+		if share >= minLeaseFraction*base && len(granted) < maxLeases {
+			granted = append(granted, QuotaLease{Borrower: borrower.name, Share: share, HeartbeatSequence: borrower.heartbeat.Sequence})
+			q.leasedOut = append(q.leasedOut, lease{borrower: borrower.name, share: share, expiresAt: now + q.leaseDuration()})
 		}
 	}
 	return q.withdrawExcess(granted, base, now)
@@ -191,8 +191,8 @@
 
 // withdrawExcess takes back the last of the new leases, as many as are too much together with the earlier ones.
 func (q *quota) withdrawExcess(granted []QuotaLease, base float64, now Time) []QuotaLease {
-	limit := base*(1-retainedPart) + grantTolerance
-	for q.leasedOutPart(now) > limit && len(granted) > 0 {
+	limit := base*(1-retainedFraction) + grantTolerance
+	for q.leasedOutShare(now) > limit && len(granted) > 0 {
 		granted = granted[:len(granted)-1]
 		q.leasedOut = q.leasedOut[:len(q.leasedOut)-1]
 	}
@@ -240,7 +240,7 @@
 		heartbeat, found := q.heartbeats.find(offer.HeartbeatSequence, q.settings.Incarnation)
 		if found && withinBounds {
 			q.leasedIn[lender.name] = lease{
-				borrower: offer.Borrower, part: offer.Share, expiresAt: heartbeat.at + q.leaseDuration(),
+				borrower: offer.Borrower, share: offer.Share, expiresAt: heartbeat.at + q.leaseDuration(),
 			}
 			return
 		}
--- a/replica/quota_test.go
+++ b/replica/quota_test.go
@@ -25,7 +25,7 @@
 
 // tick has one replica tick, and delivers its rows to the others.
 func (f *fleet) tick(name string) {
-	for _, d := range withAct(f.replicas[name].tickCopy(f.now), ActionGossip) {
+	for _, d := range withAction(f.replicas[name].tickCopy(f.now), ActionGossip) {
 		for _, to := range f.names {
 			if f.replicas[to] != nil && to != name {
 				f.replicas[to].HandleRows(f.now, name, d.Rows)
--- a/replica/rows.go
+++ b/replica/rows.go
@@ -121,11 +121,11 @@
 
 // differingVersions compares the table with a peer's digest. It returns the bit mask of the buckets that differ, as
 // many as fit into a reply, and the versions of the rows that are stored in them.
-func (t *rowTable) differingVersions(sums *Digest) (mask uint64, versions []RowVersion) {
+func (t *rowTable) differingVersions(peerDigest *Digest) (mask uint64, versions []RowVersion) {
 	for i := range t.buckets {
 		bucket := &t.buckets[i]
 		tooMany := len(versions)+len(bucket.rows) > maxVersionsSent && mask != 0
-		if bucket.digest == sums[i] || tooMany {
+		if bucket.digest == peerDigest[i] || tooMany {
 			continue
 		}
 		mask |= 1 << i
@@ -163,14 +163,14 @@
 	}
 }
 
-// figures returns the figures on the stored rows by kind.
-func (t *rowTable) figures() map[Kind]KindStats {
+// kindStats returns statistics of the stored rows by kind.
+func (t *rowTable) kindStats() map[Kind]KindStats {
 	all := map[Kind]KindStats{}
 	for _, row := range t.byID {
-		figures := all[row.Kind]
-		figures.Rows++
-		figures.Digest ^= row.hash()
-		all[row.Kind] = figures
+		stats := all[row.Kind]
+		stats.Rows++
+		stats.Digest ^= row.hash()
+		all[row.Kind] = stats
 	}
 	return all
 }
--- a/replica/rows_test.go
+++ b/replica/rows_test.go
@@ -19,12 +19,12 @@
 func (s replicaStore) receive(row Row) { s.HandleRows(s.now, "x", []Row{row}) }
 func (s replicaStore) digest() uint64  { return s.KindStats()[KindEndpoint].Digest }
 
-// lastWins is a versionStore with a planted fault: it keeps what comes last.
-type lastWins map[string]Row
+// lastWriteWins is a versionStore with a planted fault: it keeps what comes last.
+type lastWriteWins map[string]Row
 
-func (s lastWins) receive(row Row)                           { s[row.Key] = row }
-func (s lastWins) endpointRow(key string) (row Row, ok bool) { row, ok = s[key]; return row, ok }
-func (s lastWins) digest() (digest uint64) {
+func (s lastWriteWins) receive(row Row)                           { s[row.Key] = row }
+func (s lastWriteWins) endpointRow(key string) (row Row, ok bool) { row, ok = s[key]; return row, ok }
+func (s lastWriteWins) digest() (digest uint64) {
 	for _, row := range s {
 		digest ^= rowID(&row) * (versionHash(&row) | 1)
 	}
@@ -80,7 +80,7 @@
 	if fault := convergenceFault(func() versionStore { return replicaStore{newReplica("n1", 3)} }); fault != "" {
 		t.Error(fault)
 	}
-	if convergenceFault(func() versionStore { return lastWins{} }) == "" {
+	if convergenceFault(func() versionStore { return lastWriteWins{} }) == "" {
 		t.Error("the check finds nothing wrong with a store that keeps what comes last")
 	}
 }
@@ -91,7 +91,7 @@
 	decisions := replica.HandleRows(0, "b", []Row{
 		{Kind: 77, Key: "order", Writer: "b", Epoch: 1, TTL: 3 * Second, Body: []byte("?")},
 	})
-	if len(withAct(decisions, ActionGossip)) != 1 || replica.KindStats()[77].Rows != 1 {
+	if len(withAction(decisions, ActionGossip)) != 1 || replica.KindStats()[77].Rows != 1 {
 		t.Errorf("%+v", decisions)
 	}
 	for _, c := range []struct {
@@ -128,12 +128,12 @@
 }
 
 // A row that is passed on expires no later than where it was written.
-func TestAgeIsPassedOn(t *testing.T) {
+func TestForwardedRowKeepsItsAge(t *testing.T) {
 	writer, reader := newReplica("a", 2), newReplica("b", 2)
-	row := withAct(writer.RecordHealth(0, "c1", false), ActionGossip)[0].Rows[0]
+	row := withAction(writer.RecordHealth(0, "c1", false), ActionGossip)[0].Rows[0]
 	row.Age = 4 * Second
 	reader.HandleRows(100*Second, "a", []Row{row})
-	reader.expireAt, reader.tickedAt = 0, 101*Second
+	reader.nextExpiry, reader.tickedAt = 0, 101*Second
 	reader.Tick(1015 * Second / 10)
 	if reader.KindStats()[KindHealthObservation].Rows != 0 {
 		t.Error("the row is still stored")
@@ -148,7 +148,7 @@
 	if replica.rows.size() != maxRows || replica.RejectedRows == 0 {
 		t.Errorf("%d rows", replica.rows.size())
 	}
-	for _, d := range withAct(replica.HandleRowRequest(0, "b", make([]uint64, 2*maxRowsRequested)), ActionSendRows) {
+	for _, d := range withAction(replica.HandleRowRequest(0, "b", make([]uint64, 2*maxRowsRequested)), ActionSendRows) {
 		if len(d.Rows) > maxRowsPerSend {
 			t.Error("a message of", len(d.Rows))
 		}
--- a/replica/store.go
+++ b/replica/store.go
@@ -16,22 +16,22 @@
 type Store struct {
 	RejectedRows int64 // rows that were rejected since the start
 
-	settings   Settings // its Incarnation rises when a row of this name with a later one is refuted
-	now        Time     // latest time seen
-	random     *rand.Rand
-	out        decisionList
-	rows       *rowTable
-	members    *membership
-	heartbeats *heartbeatLog
-	sync       *catchUp
-	helpLimit  helpLimiter
-	quota      *quota
-	ownRows    int64 // count of the own rows that were written
-	writesSent int64
-	yielded    bool // another process of this name speaks for it
-	refutedAt  Time
-	tickedAt   Time
-	expireAt   Time // time of the next expiry
+	settings      Settings // its Incarnation rises when a row of this name with a later one is refuted
+	now           Time     // latest time seen
+	random        *rand.Rand
+	out           decisionList
+	rows          *rowTable
+	members       *membership
+	heartbeats    *heartbeatLog
+	sync          *catchUp
+	digestReplies digestReplyLimiter
+	quota         *quota
+	ownSequence   int64 // count of the own rows that were written
+	writesSent    int64
+	yielded       bool // another process of this name speaks for it
+	refutedAt     Time
+	tickedAt      Time
+	nextExpiry    Time // time of the next expiry
 }
 
 // New returns a replica that has no rows and is catching up. It tries to find a sync peer for five seconds at most.
@@ -78,7 +78,7 @@
 func (s *Store) Digest() Digest { return s.rows.digest() }
 
 // KindStats returns the figures on the stored rows by kind.
-func (s *Store) KindStats() map[Kind]KindStats { return s.rows.figures() }
+func (s *Store) KindStats() map[Kind]KindStats { return s.rows.kindStats() }
 
 // Members lists all known proxies by name, this one included.
 func (s *Store) Members() []Member { return s.members.list(s.now) }
--- a/replica/wire_golden_test.go
+++ b/replica/wire_golden_test.go
@@ -170,7 +170,7 @@
 // has to be in the bucket that the lowest bits of the row's ID select.
 func onlyVersion(t *testing.T, store *replica.Store) (replica.RowVersion, uint64) {
 	t.Helper()
-	decisions := store.HandleDigest(0, "proxy-b", otherSums(store))
+	decisions := store.HandleDigest(0, "proxy-b", invertedDigest(store))
 	if len(decisions) != 1 || decisions[0].Action != replica.ActionSendVersions || len(decisions[0].Versions) != 1 {
 		t.Fatalf("answer to a digest: %+v", decisions)
 	}
@@ -184,8 +184,8 @@
 	return version, sums[version.RowID%64]
 }
 
-// otherSums is a digest that differs from a replica's in each bucket.
-func otherSums(store *replica.Store) replica.Digest {
+// invertedDigest is a digest that differs from a replica's in each bucket.
+func invertedDigest(store *replica.Store) replica.Digest {
 	sums := store.Digest()
 	for i := range sums {
 		sums[i] = ^sums[i]
@@ -233,7 +233,7 @@
 		heartbeatRow(t, "proxy-b", 1700000000001),
 		heartbeatRow(t, "proxy-c", 1700000000002),
 	}
-	gone := replica.Row{Kind: replica.KindDeparture, Key: "proxy-c", Epoch: 1700000000002}
+	departure := replica.Row{Kind: replica.KindDeparture, Key: "proxy-c", Epoch: 1700000000002}
 	for _, c := range []struct {
 		name string
 		rows []replica.Row
@@ -241,7 +241,7 @@
 	}{
 		{"alone", nil, 0x1c4c4c49df960e31},
 		{"three proxies", known, 0xbbc7b895a9bf29c3},
-		{"one is gone", append(known, gone), 0x78160c6d5104bfa7},
+		{"one is gone", append(known, departure), 0x78160c6d5104bfa7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			store := newEmptyReplica()
--- a/replica/writes.go
+++ b/replica/writes.go
@@ -97,15 +97,15 @@
 
 // writeOwn writes an own row of this proxy.
 func (s *Store) writeOwn(row Row) {
-	s.ownRows++
-	row.Writer, row.Epoch, row.Sequence = s.settings.Name, s.settings.Incarnation, s.ownRows
+	s.ownSequence++
+	row.Writer, row.Epoch, row.Sequence = s.settings.Name, s.settings.Incarnation, s.ownSequence
 	s.writeLocal(row)
 }
 
 // writeLocal stores a row that this proxy wrote, if it is valid and newer than the stored version.
 func (s *Store) writeLocal(row Row) {
 	id := rowID(&row)
-	if s.admit(id, &row) {
+	if s.validateRow(id, &row) {
 		s.store(id, &row)
 	}
 }
@@ -114,7 +114,7 @@
 // A row that contradicts what this process says about itself is refuted.
 func (s *Store) writeReceived(from string, row *Row) {
 	id := rowID(row)
-	if !s.admit(id, row) {
+	if !s.validateRow(id, row) {
 		return
 	}
 	if s.aboutSelf(row) && !s.yielded && !s.refute(row) {
@@ -126,8 +126,8 @@
 	}
 }
 
-// admit notes that a row has arrived, and reports whether it is valid.
-func (s *Store) admit(id uint64, row *Row) bool {
+// validateRow notes that a row has arrived, and reports whether it is valid.
+func (s *Store) validateRow(id uint64, row *Row) bool {
 	delete(s.sync.requested, id)
 	if !row.valid() {
 		s.RejectedRows++
@@ -150,7 +150,7 @@
 	s.out.add(Decision{Action: ActionGossip, Rows: []Row{stored.aged(s.now)}})
 	switch {
 	case row.Kind == KindHeartbeat && row.Key == row.Writer:
-		s.heartbeatReceived(stored)
+		s.handleHeartbeat(stored)
 	case row.Kind == KindDeparture:
 		s.members.findOrAdd(stored.Key)
 	}
@@ -169,8 +169,8 @@
 func (s *Store) refute(row *Row) bool {
 	incarnation := s.settings.Incarnation
 	switch {
-	case row.Kind != KindDeparture && row.Epoch == incarnation && row.Sequence > s.ownRows:
-		s.ownRows = row.Sequence
+	case row.Kind != KindDeparture && row.Epoch == incarnation && row.Sequence > s.ownSequence:
+		s.ownSequence = row.Sequence
 	case row.Epoch > incarnation || row.Kind == KindDeparture && row.Epoch == incarnation:
 		if s.now-s.refutedAt < refuteInterval {
 			return false
@@ -186,6 +186,6 @@
 func (s *Store) takeIncarnation(incarnation int64) {
 	s.settings.Incarnation = incarnation
 	s.quota.confirmed = false
-	s.members.forgetAcknowledgements()
+	s.members.resetAcknowledgements()
 	s.heartbeats.lastAt = s.now - longAgo
 }
--- a/replica/writes_test.go
+++ b/replica/writes_test.go
@@ -15,7 +15,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			replica := newReplica("a", 2)
 			replica.HandleRows(0, "b", []Row{c.row})
-			heartbeat := withAct(replica.Tick(100), ActionGossip)
+			heartbeat := withAction(replica.Tick(100), ActionGossip)
 			if replica.settings.Incarnation != 51 || len(heartbeat) == 0 || heartbeat[0].Rows[0].Epoch != 51 {
 				t.Errorf("incarnation %d, %+v", replica.settings.Incarnation, heartbeat)
 			}
@@ -33,7 +33,7 @@
 func TestCompleteListRemovesEndpoints(t *testing.T) {
 	replica := newReplica("a", 1)
 	replica.ApplyEndpointList(0, true, 5, []Row{{Key: "c1"}, {Key: "c2"}})
-	if written := withAct(replica.ApplyEndpointList(0, true, 9, []Row{{Key: "c1"}, {Key: "c2"}}), ActionGossip); len(written) != 0 {
+	if written := withAction(replica.ApplyEndpointList(0, true, 9, []Row{{Key: "c1"}, {Key: "c2"}}), ActionGossip); len(written) != 0 {
 		t.Errorf("%+v", written)
 	}
 	replica.ApplyEndpointList(0, true, 4, []Row{{Key: "c1"}})
