--- a/internal/rowcodec/decode.go
+++ b/internal/rowcodec/decode.go
@@ -1,6 +1,6 @@
-// Package rowcodec decodes the msgpack bodies that proxies send each other. The msgpack library allocates as many elements
-// as a list announces before it reads the first; this package looks at the lengths first, so that a body costs no more
-// memory than its own bytes call for.
+// Package rowcodec decodes the msgpack bodies that proxies receive from each other. The msgpack library allocates the
+// announced number of elements of a list before it reads the first one. This package checks all lengths beforehand, so
+// that the memory allocated for a body is bounded by the body's own size.
 package rowcodec
 
 import (
@@ -11,14 +11,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrMalformed is returned for a body whose lists, maps or strings are longer than the body.
+// ErrMalformed is returned for a body whose lists, maps or strings extend beyond its end, or are nested too deeply.
 var ErrMalformed = errors.New("msgpack: a length is beyond the end")
 
-// maxDepth bounds how deep lists and maps may be nested.
+// maxDepth is the maximum nesting depth of lists and maps.
 const maxDepth = 16
 
-// Decode decodes a body into a value, as msgpack.Unmarshal does. The library panics on some bodies, such as one with nil
-// for a time; that is an error as well.
+// Decode decodes a body into value, as msgpack.Unmarshal does. It returns ErrMalformed if a length in the body is too
+// large. The library panics on some bodies, for example on a nil in place of a time; Decode returns such a panic as an
+// error.
 func Decode(body []byte, value any) (err error) {
 	if err := checkLengths(body); err != nil {
 		return err
@@ -31,16 +32,16 @@
 	return msgpack.Unmarshal(body, value)
 }
 
-// checkLengths returns ErrMalformed unless the first element of a body lies within it, with all that it contains.
+// checkLengths returns ErrMalformed unless the first element of a body, with everything nested in it, ends within the body.
 func checkLengths(body []byte) error {
 	s := scanner{rest: body}
 	return s.skip(0)
 }
 
-// scanner walks over msgpack.
+// scanner steps over msgpack elements. It holds the bytes that remain.
 type scanner struct{ rest []byte }
 
-// skip passes over one element and all that it contains.
+// skip steps over one element and everything nested in it.
 func (s *scanner) skip(depth int) error {
 	if depth > maxDepth || len(s.rest) == 0 {
 		return ErrMalformed
@@ -51,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	if shape.bytes > uint64(len(s.rest)) || shape.elements > uint64(len(s.rest)) { // an element has one byte at least
+	if shape.bytes > uint64(len(s.rest)) || shape.elements > uint64(len(s.rest)) { // each element takes at least one byte
 		return ErrMalformed
 	}
 	s.rest = s.rest[shape.bytes:]
@@ -63,13 +64,14 @@
 	return nil
 }
 
-// shape is what follows an element's format and length.
+// shape is the size of the content that follows the format byte and length of an element.
 type shape struct {
-	bytes    uint64 // of the element itself
-	elements uint64 // that it contains
+	bytes    uint64 // number of bytes of the element itself
+	elements uint64 // number of elements nested in it
 }
 
-// The formats of msgpack whose length or size does not stand in the format byte itself.
+// The first format byte of each group of msgpack formats whose size is not part of the format byte, and formatNegInt, the
+// first of the negative integers.
 const (
 	formatBin8    = 0xc4
 	formatExt8    = 0xc7
@@ -83,7 +85,8 @@
 	formatNegInt  = 0xe0
 )
 
-// shapeOf reads the length that follows a format, if one does.
+// shapeOf returns the shape of an element with the given format byte. It reads the length that follows the format byte, if
+// the format has one.
 func (s *scanner) shapeOf(format byte) (shape, error) {
 	switch {
 	case format < 0x80 || format >= formatNegInt || format >= 0xc0 && format < formatBin8: // small integers, nil, booleans
@@ -114,7 +117,7 @@
 	return s.readLength(2<<(format-formatMap16), func(n uint64) shape { return shape{elements: 2 * n} })
 }
 
-// readLength reads a length of so many bytes.
+// readLength reads a length that is width bytes long, and returns the shape that toShape returns for it.
 func (s *scanner) readLength(width int, toShape func(length uint64) shape) (shape, error) {
 	if len(s.rest) < width {
 		return shape{}, ErrMalformed
--- a/internal/rowcodec/decode_test.go
+++ b/internal/rowcodec/decode_test.go
@@ -12,7 +12,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// everyFormat has fields of every kind and size.
+// everyFormat has a field for each group of msgpack formats.
 type everyFormat struct {
 	Nil     *int
 	Bool    bool
@@ -26,6 +26,7 @@
 	At      time.Time
 }
 
+// filledFormats returns a value whose encoding uses the formats of all sizes.
 func filledFormats() everyFormat {
 	sizes := []int{0, 1, 15, 16, 31, 32, 255, 256, 65535, 65536}
 	all := everyFormat{Bool: true, Float32: 1.5, At: time.Unix(1700000000, 5).UTC()}
@@ -48,7 +49,8 @@
 	return all
 }
 
-// What the library encodes is decoded to the same value, whatever formats it uses.
+// TestDecodeSupportsEveryFormat checks that a value encoded by the msgpack library is decoded to the same value, in all
+// formats.
 func TestDecodeSupportsEveryFormat(t *testing.T) {
 	want := filledFormats()
 	encoded, err := msgpack.Marshal(&want)
@@ -61,20 +63,22 @@
 	}
 	got.At = got.At.UTC()
 	if !reflect.DeepEqual(got, want) {
-		t.Error("decoded to another value")
+		t.Error("decoded value differs from the encoded one")
 	}
 }
 
-// A body that is cut off anywhere is refused before anything is allocated for it.
+// TestDecodeRejectsTruncatedBody checks that a body truncated at any byte is rejected before memory is allocated for it.
 func TestDecodeRejectsTruncatedBody(t *testing.T) {
-	small := everyFormat{Ints: []int64{1, 1 << 40}, Texts: []string{"some text"}, Bytes: [][]byte{{1, 2, 3}}, At: time.Unix(1, 0)}
+	small := everyFormat{
+		Ints: []int64{1, 1 << 40}, Texts: []string{"some text"}, Bytes: [][]byte{{1, 2, 3}}, At: time.Unix(1, 0),
+	}
 	encoded, err := msgpack.Marshal(&small)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range len(encoded) {
 		if err := checkLengths(encoded[:n]); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%d of %d bytes: %v", n, len(encoded), err)
+			t.Errorf("%d of %d bytes: got error %v, want ErrMalformed", n, len(encoded), err)
 		}
 	}
 	if err := checkLengths(encoded); err != nil {
@@ -82,7 +86,8 @@
 	}
 }
 
-// Lengths beyond the end, of every kind, and nesting without end are refused.
+// TestDecodeRejectsLengthsBeyondEnd checks that lengths beyond the end of the body, in every format, and unlimited nesting
+// are rejected.
 func TestDecodeRejectsLengthsBeyondEnd(t *testing.T) {
 	for _, body := range [][]byte{
 		{0x9f},
@@ -118,20 +123,21 @@
 		[]byte(strings.Repeat("\x91", 1000) + "\x01"),
 	} {
 		if err := checkLengths(body); !errors.Is(err, ErrMalformed) {
-			t.Errorf("% x: %v", body, err)
+			t.Errorf("% x: got error %v, want ErrMalformed", body, err)
 		}
 	}
 }
 
-// A nil in place of a time has the library panic: that is an error like others.
+// TestDecodeReturnsPanicAsError checks that a panic of the msgpack library, caused by a nil in place of a time, is returned
+// as an error.
 func TestDecodeReturnsPanicAsError(t *testing.T) {
 	body := append([]byte{0x81, 0xa2}, "At\xc0"...)
 	if err := Decode(body, &everyFormat{}); err == nil {
-		t.Error("no error")
+		t.Error("got no error for a nil in place of a time")
 	}
 }
 
-// FuzzDecode checks that no body has more allocated than a multiple of its own length.
+// FuzzDecode checks that the memory allocated for a body is bounded by a multiple of its length.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{0x81, 0xa4, 'I', 'n', 't', 's', 0xdd, 4, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -141,7 +147,7 @@
 		_ = Decode(body, &value)
 		runtime.ReadMemStats(&after)
 		if n, limit := after.TotalAlloc-before.TotalAlloc, uint64(1<<16+1000*len(body)); n > limit {
-			t.Errorf("%d bytes are allocated for %d", n, len(body))
+			t.Errorf("allocated %d bytes for a body of %d bytes", n, len(body))
 		}
 	})
 }
