--- a/replica/decision.go
+++ b/replica/decision.go
@@ -2,40 +2,42 @@
 
 import "fmt"
 
-// Action says what a Decision asks the caller to do. The numbers of the first seven are message types on the wire.
+// Action is what a Decision requests from the caller. The numbers of the first seven actions are message types on the
+// wire.
 type Action uint8
 
-// The acts, with the fields of a decision that each one uses. The first seven send a message of that type to peers.
+// The actions, with the fields of Decision that each one uses. The first seven send a message of that type to peers.
 const (
-	ActionGossip        Action = iota // gossip the row (Rows has one) to some peers at a time until all have it
-	ActionSendDigest                  // send the digest to the peer
-	ActionSendVersions                // send the versions of the rows in the buckets of the bit mask to the peer
-	ActionSendRows                    // send the rows to the peer
-	ActionRequestRows                 // request the rows with these IDs from the peer
-	ActionReplyBusy                   // reply to the peer that it should poll another
-	ActionReplyInSync                 // reply to the peer that both are in sync
-	ActionProbe                       // connect to Address, and report it if the connection to that peer's incarnation is refused
-	ActionRowChanged                  // another proxy has changed the row (Rows has one); the peer is the one that sent it
-	ActionSetQuotaShare               // use QuotaShare of the fleet's limits from now on
+	ActionGossip        Action = iota // gossip the only row in Rows to a few peers at a time until all have it
+	ActionSendDigest                  // send Digest to Peer
+	ActionSendVersions                // send Buckets, and Versions of the rows in them, to Peer
+	ActionSendRows                    // send Rows to Peer
+	ActionRequestRows                 // request the rows with the IDs in RowIDs from Peer
+	ActionReplyBusy                   // reply to Peer that it should poll another peer
+	ActionReplyInSync                 // reply to Peer that both proxies are in sync
+	ActionProbe                       // connect to Address; if refused, call ConnectionRefused with Peer and Incarnation
+	ActionRowChanged                  // another proxy has changed the only row in Rows; Peer is the proxy that sent it
+	ActionSetQuotaShare               // apply Share, the new fraction of the fleet's limits that this proxy may use
 	ActionLog                         // log Text
 )
 
-// Decision is one thing for the caller to do. Decisions are carried out in the order in which they are returned.
+// Decision is one action that the caller must carry out, in the order in which decisions are returned. Fields that the
+// action does not use are zero.
 type Decision struct {
 	Action      Action
 	Peer        string // name of a peer
 	Address     string // host:port
-	Incarnation int64  // incarnation of that peer
+	Incarnation int64  // incarnation of Peer
 	Rows        []Row
 	Versions    []RowVersion
-	RowIDs      []uint64 // hashes of the rows' identities
-	Buckets     uint64   // bit mask of buckets
+	RowIDs      []uint64 // hashes of the identities of rows
+	Buckets     uint64   // bit mask of digest buckets
 	Digest      Digest
-	Share       float64 // 0 to 1
+	Share       float64 // fraction of the fleet's limits, 0 to 1
 	Text        string
 }
 
-// decisionList collects the decisions of one call. Its memory is reused by the next call.
+// decisionList collects the decisions of one call. The next call reuses its memory.
 type decisionList struct {
 	decisions []Decision
 }
--- a/replica/rows.go
+++ b/replica/rows.go
@@ -6,52 +6,53 @@
 	"strings"
 )
 
-// maxRows bounds the rows that are stored; new rows beyond it are rejected and counted.
+// maxRows is the maximum number of stored rows. Further new rows are rejected and counted.
 const maxRows = 16384
 
-// BucketCount is the number of parts of a digest. A row belongs to the bucket of its ID modulo BucketCount.
+// BucketCount is the number of buckets of a digest. The bucket of a row is its ID modulo BucketCount.
 const BucketCount = 64
 
-// Digest is the digest of the stored rows: for each bucket, the exclusive or of its rows' hashes.
+// Digest is the digest of the stored rows: the exclusive or of the hashes of the rows in each bucket.
 type Digest [BucketCount]uint64
 
-// KindStats are the figures on the stored rows of one kind.
+// KindStats holds statistics of the stored rows of one kind.
 type KindStats struct {
-	Rows   int
-	Digest uint64 // exclusive or of the rows' hashes
+	Rows   int    // number of rows
+	Digest uint64 // exclusive or of the hashes of the rows
 }
 
-// storedRow is the current version of a row.
+// storedRow is the stored version of a row.
 type storedRow struct {
 	Row
 	id         uint64
-	version    uint64 // hash
-	writtenAt  Time   // on this proxy's clock, by the row's age
-	receivedAt Time   // when this version was stored
+	version    uint64 // hash of the version
+	writtenAt  Time   // time on this proxy's clock, derived from the age of the row
+	receivedAt Time   // time at which this version was stored
 }
 
-// hash is what the row contributes to its bucket's digest.
+// hash returns the value that the row contributes to the digest of its bucket.
 func (r *storedRow) hash() uint64 { return r.id*0x9e3779b97f4a7c15 ^ r.version }
 
 // expired reports whether the row has reached its time to live.
 func (r *storedRow) expired(now Time) bool { return r.TTL > 0 && now-r.writtenAt >= r.TTL }
 
-// aged returns the row as it is sent, with the age that it has now.
+// aged returns the row with its age at time now, as it is sent to peers.
 func (r *storedRow) aged(now Time) Row {
 	row := r.Row
 	row.Age = now - r.writtenAt
 	return row
 }
 
-// rowTable stores the current version of each row, with a digest by bucket.
+// rowTable stores the newest version of each row, with a digest for each bucket.
 type rowTable struct {
 	byID    map[uint64]*storedRow
 	buckets [BucketCount]bucket
 }
 
+// bucket holds the rows of one bucket of the digest.
 type bucket struct {
 	digest uint64
-	rows   []*storedRow // by ID, so that walks of the table have the same order every time
+	rows   []*storedRow // sorted by ID, so that iteration order is deterministic
 }
 
 func newRowTable() *rowTable { return &rowTable{byID: map[uint64]*storedRow{}} }
@@ -60,12 +61,12 @@
 
 func (t *rowTable) full() bool { return len(t.byID) >= maxRows }
 
-// departure returns the departure record of a proxy, nil if none is stored.
+// departure returns the departure record of a proxy, or nil if none is stored.
 func (t *rowTable) departure(proxy string) *storedRow {
 	return t.byID[rowID(&Row{Kind: KindDeparture, Key: proxy})]
 }
 
-// put stores a version in place of the one that is stored for the same ID, if any.
+// put stores a version of a row, replacing the stored version with the same ID if there is one.
 func (t *rowTable) put(id uint64, row *Row, now Time) *storedRow {
 	bucket := &t.buckets[id%BucketCount]
 	stored := t.byID[id]
@@ -86,7 +87,7 @@
 	return stored
 }
 
-// expire removes the rows that have reached their time to live, and calls removed with each of them.
+// expire removes the rows that have reached their time to live, and calls removed for each of them.
 func (t *rowTable) expire(now Time, removed func(*storedRow)) {
 	for i := range t.buckets {
 		bucket := &t.buckets[i]
@@ -102,7 +103,7 @@
 	}
 }
 
-// expireKind lets all rows of a kind expire at the next call of expire.
+// expireKind makes all rows of a kind expire at the next call of expire.
 func (t *rowTable) expireKind(kind Kind) {
 	for _, row := range t.byID {
 		if row.Kind == kind {
@@ -119,8 +120,8 @@
 	return sums
 }
 
-// differingVersions compares the table with a peer's digest. It returns the bit mask of the buckets that differ, as
-// many as fit into a reply, and the versions of the rows that are stored in them.
+// differingVersions compares the table with the digest of a peer. It returns the bit mask of the buckets that differ, as
+// many as fit into one reply, and the versions of the rows stored in them.
 func (t *rowTable) differingVersions(peerDigest *Digest) (mask uint64, versions []RowVersion) {
 	for i := range t.buckets {
 		bucket := &t.buckets[i]
@@ -136,8 +137,8 @@
 	return mask, versions
 }
 
-// missingFrom returns the rows in the buckets of a bit mask that a peer with these versions by ID lacks, with their
-// age.
+// missingFrom returns the rows in the buckets of a bit mask that a peer lacks or has in another version, with their
+// current age. The peer's versions are given by row ID.
 func (t *rowTable) missingFrom(mask uint64, versions map[uint64]uint64, now Time) (rows []Row) {
 	for i := range t.buckets {
 		if mask&(1<<i) == 0 {
@@ -152,7 +153,7 @@
 	return rows
 }
 
-// forEach calls f with each row of a kind, in the same order every time.
+// forEach calls f for each row of a kind, in a deterministic order.
 func (t *rowTable) forEach(kind Kind, f func(*storedRow)) {
 	for i := range t.buckets {
 		for _, row := range t.buckets[i].rows {
--- a/replica/settings.go
+++ b/replica/settings.go
@@ -1,13 +1,13 @@
 package replica
 
-// Settings are the settings of a replica.
+// Settings configures a replica.
 type Settings struct {
 	Name           string  // name of this proxy, unique in the fleet
-	Incarnation    int64   // of this process; higher than that of any earlier process of this name
+	Incarnation    int64   // incarnation of this process, higher than that of any earlier process of this name
 	FleetSize      int     // configured size of the fleet, this proxy included
 	Address        string  // host:port at which peers reach this proxy
-	Zone           string  // in which this proxy runs; "" if unknown
+	Zone           string  // zone in which this proxy runs; "" if unknown
 	TakeoverDelay  Time    // delay before the quota of a departed proxy is taken over
-	QuotaFloor     float64 // part of an even share, 0 to 1, that is never taken over and that an unconfirmed proxy may use
+	QuotaFloor     float64 // fraction of an even share, 0 to 1, that is never taken over and is usable before confirmation
 	ObservationTTL Time    // time to live of a health observation
 }
--- a/replica/time.go
+++ b/replica/time.go
@@ -1,7 +1,7 @@
 package replica
 
-// Time is an instant or a span in units of 0.1 ms. Instants are read from the caller's monotonic clock, whose zero is
-// arbitrary: they mean nothing to another process, which is why rows carry an age and never an instant.
+// Time is an instant or a duration in units of 0.1 ms. Instants are read from the caller's monotonic clock, whose zero
+// is arbitrary. They have no meaning in another process, so rows carry an age and never an instant.
 type Time int64
 
 // Second is one second in units of Time.
