--- a/replica/antientropy.go
+++ b/replica/antientropy.go
@@ -6,55 +6,58 @@
 )
 
 const (
-	maxVersionsSent  = 8192 // in one answer to a digest; what is left differs in the next digest
-	maxRowsPerSend   = 64   // in one message
-	maxRowsRequested = 8192 // in one message
+	maxVersionsSent  = 8192 // maximum in one reply to a digest; further ones differ again in the next digest
+	maxRowsPerSend   = 64   // maximum in one message
+	maxRowsRequested = 8192 // maximum in one message
 
-	syncReplyTimeout  = Second / 4 // of a sync peer, before another is polled
-	noPeerSyncTimeout = 2 * Second // catching up ends after this time if no peer is live
-	syncTimeout       = 5 * Second // and after this time in any case
+	syncReplyTimeout  = Second / 4 // time to wait for the reply of a sync peer before another one is polled
+	noPeerSyncTimeout = 2 * Second // duration of catching up if no peer is live
+	syncTimeout       = 5 * Second // maximum duration of catching up
 
-	maxDigestReplies    = 4 // digests that differ are answered this often in a helpInterval; others get a busy reply
+	// maxDigestReplies is the maximum number of replies with row versions in a digestReplyInterval. Further digests that
+	// differ get a busy reply.
+	maxDigestReplies    = 4
 	digestReplyInterval = Second / 2
 )
 
-// catchUp is the state of a proxy that fetches what it missed, while it was down or suspended, from a sync peer.
+// catchUp is the state of fetching from a sync peer the rows that the proxy missed while it was down or suspended.
 type catchUp struct {
 	members          *membership
 	random           *rand.Rand
 	active           bool
 	since            Time
-	peer             string // the sync peer that was polled; "" if none was
+	peer             string // name of the polled sync peer; "" if none was polled
 	polledAt         Time
 	versionsReceived bool            // the sync peer has sent its versions
-	requested        map[uint64]bool // IDs of rows that the sync peer was asked for and has not sent
+	requested        map[uint64]bool // IDs of rows that were requested from the sync peer and not yet received
 }
 
-// start begins to catch up; a sync peer may be polled at once.
+// start starts catching up. A sync peer may be polled at once.
 func (c *catchUp) start(now Time) {
 	c.active, c.since = true, now
 	c.peer = ""
 	c.allowPoll(now)
 }
 
+// finish ends catching up and clears the state of the sync peer.
 func (c *catchUp) finish() {
 	c.active, c.peer, c.versionsReceived = false, "", false
 	clear(c.requested)
 }
 
-// allowPoll lets the next sync peer be polled without waiting for the reply of the last one.
+// allowPoll allows the next sync peer to be polled without waiting for the reply of the last one.
 func (c *catchUp) allowPoll(now Time) { c.polledAt = now - syncReplyTimeout }
 
-// pollDue reports whether a sync peer has to be polled.
+// pollDue reports whether the next sync peer must be polled.
 func (c *catchUp) pollDue(now Time) bool { return c.active && now-c.polledAt >= syncReplyTimeout }
 
-// syncingWith reports whether the proxy is catching up from a peer.
+// syncingWith reports whether the proxy is catching up from the given peer.
 func (c *catchUp) syncingWith(peer string) bool { return c.active && peer == c.peer }
 
-// complete reports whether the sync peer has sent all rows that it was asked for.
+// complete reports whether the sync peer has sent its versions and all rows that were requested from it.
 func (c *catchUp) complete() bool { return c.versionsReceived && len(c.requested) == 0 }
 
-// expectRows notes the rows that the sync peer was asked for.
+// expectRows records the IDs of the rows that are requested from the sync peer, whose versions have been received.
 func (c *catchUp) expectRows(now Time, ids []uint64) {
 	clear(c.requested)
 	for _, id := range ids {
@@ -63,13 +66,15 @@
 	c.polledAt, c.versionsReceived = now, true
 }
 
-// syncPeers are the live peers that may be polled: those that are not catching up themselves, or if all are, all. No
-// cycle of proxies that wait for each other lasts, since each poll has a timeout.
+// syncPeers holds the peers that may be polled and the number of live peers. Live peers that are not catching up
+// themselves are preferred; if all of them are catching up, any may be polled. Proxies that poll each other in a cycle
+// do not block each other for good, since each poll has a timeout.
 type syncPeers struct {
 	preferred []*member
 	live      int
 }
 
+// syncPeers returns the peers that may be polled at time now.
 func (c *catchUp) syncPeers(now Time) syncPeers {
 	var live, inSync []*member
 	for _, other := range c.members.all {
@@ -87,18 +92,18 @@
 	return syncPeers{preferred: inSync, live: len(live)}
 }
 
-// timedOut reports whether to go on with the rows that there are.
+// timedOut reports whether to stop catching up and continue with the rows received so far.
 func (c *catchUp) timedOut(now Time, livePeers int) bool {
 	elapsed := now - c.since
 	return elapsed >= syncTimeout || elapsed >= noPeerSyncTimeout && livePeers == 0
 }
 
-// choosePeer picks one of the peers at random as the sync peer. It returns false if there is none; the next tick tries
-// again.
+// choosePeer selects one of the peers at random as the sync peer. It returns false if there are none; the next tick then
+// tries again.
 func (c *catchUp) choosePeer(now Time, peers []*member) bool {
 	c.versionsReceived = false
 	if len(peers) == 0 {
-		c.polledAt = now - syncReplyTimeout + 1 // due at the next tick, and not once more in this one
+		c.polledAt = now - syncReplyTimeout + 1 // due at the next tick, but not again in this one
 		return false
 	}
 	c.polledAt = now
@@ -107,13 +112,14 @@
 	return true
 }
 
-// digestReplyLimiter limits how many peers are helped to catch up at a time: when a whole fleet restarts, its proxies poll all
-// of the others and not one.
+// digestReplyLimiter limits the number of replies with row versions per digestReplyInterval. When a whole fleet restarts,
+// the limit spreads the polls of its proxies over all peers instead of a single one.
 type digestReplyLimiter struct {
 	intervalStart Time
 	count         int
 }
 
+// allow reports whether one more reply with row versions may be sent at time now.
 func (l *digestReplyLimiter) allow(now Time) bool {
 	if now-l.intervalStart > digestReplyInterval {
 		l.intervalStart, l.count = now, 0
@@ -122,8 +128,8 @@
 	return l.count <= maxDigestReplies
 }
 
-// HandleDigest handles a peer's digest. The reply has the versions of the rows in the buckets that differ, unless too many
-// peers were helped lately.
+// HandleDigest handles the digest of a peer. The reply contains the versions of the rows in the buckets that differ. It
+// is a busy reply if too many such replies were sent recently.
 func (s *Store) HandleDigest(now Time, from string, digest Digest) []Decision {
 	s.begin(now)
 	differing, versions := s.rows.differingVersions(&digest)
@@ -138,21 +144,21 @@
 	return s.out.decisions
 }
 
-// HandleVersions handles the versions that a peer has stored in the buckets of a bit mask. Rows that it lacks or has in another
-// version are sent to it, and the reverse is requested: a hash does not tell which of two versions is newer, so that
-// both are sent and the older one is dropped by whoever receives it.
+// HandleVersions handles the versions that a peer has stored in the buckets of a bit mask. Rows that the peer lacks or
+// has in another version are sent to it, and rows that this proxy lacks or has in another version are requested. The
+// hashes do not show which of two versions is newer, so both are sent, and the receiver of the older one drops it.
 func (s *Store) HandleVersions(now Time, from string, buckets uint64, versions []RowVersion) []Decision {
 	s.begin(now)
-	theirs := make(map[uint64]uint64, len(versions))
+	peerVersions := make(map[uint64]uint64, len(versions))
 	var request []uint64
 	for _, version := range versions {
-		theirs[version.RowID] = version.VersionHash
+		peerVersions[version.RowID] = version.VersionHash
 		stored := s.rows.byID[version.RowID]
 		if (stored == nil || stored.version != version.VersionHash) && len(request) < maxRowsRequested {
 			request = append(request, version.RowID)
 		}
 	}
-	s.sendRows(from, s.rows.missingFrom(buckets, theirs, s.now))
+	s.sendRows(from, s.rows.missingFrom(buckets, peerVersions, s.now))
 	syncing := s.sync.syncingWith(from)
 	if syncing {
 		s.sync.expectRows(now, request)
@@ -165,7 +171,7 @@
 	return s.out.decisions
 }
 
-// sendRows sends rows to a peer, as many messages as it takes.
+// sendRows sends rows to a peer, in several messages if there are more than maxRowsPerSend.
 func (s *Store) sendRows(to string, rows []Row) {
 	for len(rows) > 0 {
 		count := min(len(rows), maxRowsPerSend)
@@ -174,7 +180,7 @@
 	}
 }
 
-// HandleRowRequest handles a peer's request for rows.
+// HandleRowRequest handles a peer's request for rows by their IDs. IDs of rows that are not stored are ignored.
 func (s *Store) HandleRowRequest(now Time, from string, ids []uint64) []Decision {
 	s.begin(now)
 	var rows []Row
@@ -187,7 +193,7 @@
 	return s.out.decisions
 }
 
-// HandleInSync handles a peer's reply that both are in sync.
+// HandleInSync handles a peer's reply that both proxies are in sync.
 func (s *Store) HandleInSync(now Time, from string) []Decision {
 	s.begin(now)
 	if s.sync.syncingWith(from) {
@@ -196,7 +202,7 @@
 	return s.out.decisions
 }
 
-// HandleBusy handles a peer's reply that it helps too many others; the next tick polls another.
+// HandleBusy handles a peer's reply that it is syncing too many other proxies. The next tick polls another sync peer.
 func (s *Store) HandleBusy(now Time, from string) []Decision {
 	s.begin(now)
 	if from == s.sync.peer {
@@ -205,7 +211,7 @@
 	return s.out.decisions
 }
 
-// pollSyncPeer sends the digest to a sync peer, or gives up catching up.
+// pollSyncPeer sends the digest to a sync peer, or ends catching up if it has timed out.
 func (s *Store) pollSyncPeer() {
 	peers := s.sync.syncPeers(s.now)
 	if s.sync.timedOut(s.now, peers.live) {
@@ -218,6 +224,7 @@
 	}
 }
 
+// finishCatchUp ends catching up, logs how it ended, and sends a heartbeat unless this proxy has yielded.
 func (s *Store) finishCatchUp(how string) {
 	s.sync.finish()
 	s.out.logf("caught up, %s: %d rows of %d proxies", how, s.rows.size(), len(s.members.all))
--- a/replica/expiry.go
+++ b/replica/expiry.go
@@ -1,11 +1,12 @@
 package replica
 
-// expiryInterval is the time between two walks of the rows and members for what has expired.
+// expiryInterval is the time between two scans of the rows and members for expired ones.
 const expiryInterval = Second / 5
 
 func (s *Store) expiryDue() bool { return s.now >= s.nextExpiry }
 
-// expire removes expired rows and members, finds who has departed, and has silent proxies probed.
+// expire removes expired rows and members, updates which members have departed, requests probes of silent proxies, and
+// checks whether the quota is confirmed.
 func (s *Store) expire() {
 	s.nextExpiry = s.now + expiryInterval
 	s.rows.expire(s.now, s.members.forgetHeartbeat)
@@ -18,11 +19,11 @@
 	s.confirmQuota()
 }
 
-// updateDeparted decides whether a member has departed. Its quota is taken over from then on, so that the leases which
-// it granted have to have expired.
+// updateDeparted decides whether a member has departed. The other proxies then take over its quota, so this happens only
+// after the takeover delay and after all leases that the member granted have expired.
 func (s *Store) updateDeparted(other *member, departure *storedRow) {
 	if departure != nil && other.heartbeat == nil && other.incarnation == 0 {
-		other.incarnation = departure.Epoch // no heartbeat of it was ever received
+		other.incarnation = departure.Epoch // no heartbeat of this member was ever received
 	}
 	takeoverDelay := max(s.settings.TakeoverDelay, s.quota.leaseDuration())
 	departed := departure != nil && departure.Epoch >= other.incarnation && !s.members.isSelf(other) &&
@@ -35,6 +36,7 @@
 		other.name, departed, s.members.departedCount(), s.members.fleetSize())
 }
 
+// probeIfSilent requests a connect probe of a member if one is due.
 func (s *Store) probeIfSilent(other *member) {
 	if !s.members.needsProbe(other, s.now) {
 		return
@@ -43,8 +45,9 @@
 	s.out.add(Decision{Action: ActionProbe, Peer: other.name, Address: other.report.Address, Incarnation: other.incarnation})
 }
 
-// memberExpired reports whether a member counts no longer: its departure record has expired, or it was only ever heard
-// of. The configured size of the fleet is kept with members that have been running.
+// memberExpired reports whether a member must be removed: neither a heartbeat nor a departure record of it is stored, and
+// either it was never running or the fleet is larger than configured. Members that have been running are kept up to the
+// configured size of the fleet.
 func (s *Store) memberExpired(other *member, departure *storedRow) bool {
 	if other.departed || departure != nil || other.heartbeat != nil || s.members.isSelf(other) {
 		return false
