--- a/replica/heartbeat.go
+++ b/replica/heartbeat.go
@@ -7,59 +7,61 @@
 )
 
 const (
-	// A proxy sends a heartbeat every minHeartbeatInterval, and heartbeatSpacing later for each proxy of the fleet, so
-	// that no more than a hundred heartbeats a second arrive.
+	// The interval between two heartbeats of a proxy is minHeartbeatInterval plus heartbeatSpacing for each proxy of the
+	// fleet, so that a proxy receives at most a hundred heartbeats per second.
 	minHeartbeatInterval = Second
 	heartbeatSpacing     = Second / 100
 
 	// heartbeatTTL is the time to live of a heartbeat in heartbeat intervals.
 	heartbeatTTL = 10
 
-	// longAgo is a span after which anything that is done at intervals is due.
+	// longAgo is a duration longer than any interval of this package: an action last done that long ago is due.
 	longAgo = 1000 * Second
 
-	// overcommittedView is sent in place of the view hash by a proxy that has leased out more than its share. Nobody's
-	// view has this hash, so that the heartbeat acknowledges no incarnation and no proxy confirms its quota by it.
+	// overcommittedView replaces the view hash in the heartbeats of a proxy that has leased out more than its share. No
+	// proxy's view has this hash, so the heartbeat acknowledges no incarnation, and no proxy confirms its quota because of
+	// it.
 	overcommittedView = 1
 )
 
-// Heartbeat is the body of a heartbeat row.
+// Heartbeat is the body of a heartbeat row: the state that a proxy reports about itself.
 type Heartbeat struct {
 	Address      string       `msgpack:"a"` // host:port at which peers reach the proxy
 	Zone         string       `msgpack:"z,omitempty"`
-	Demand       float64      `msgpack:"d"` // requests a second from its clients
-	ViewHash     uint64       `msgpack:"v"` // hash of the proxies that it knows, their incarnations, and which have departed
-	CatchingUp   bool         `msgpack:"b"` // it is catching up
-	BaseQuota    float64      `msgpack:"s"` // its quota before leases, 0 to 1
-	Leases       []QuotaLease `msgpack:"l,omitempty"`
-	WritesSent   int64        `msgpack:"o,omitempty"` // messages about its writes that it has sent
-	HasSuccessor bool         `msgpack:"h,omitempty"` // the process is ending, and a successor takes its name
+	Demand       float64      `msgpack:"d"`           // requests per second from its clients
+	ViewHash     uint64       `msgpack:"v"`           // hash of its members, their incarnations, and which have departed
+	CatchingUp   bool         `msgpack:"b"`           // whether it is catching up
+	BaseQuota    float64      `msgpack:"s"`           // its quota before leases as a fraction of the fleet's limits, 0 to 1
+	Leases       []QuotaLease `msgpack:"l,omitempty"` // leases that it grants to other proxies
+	WritesSent   int64        `msgpack:"o,omitempty"` // number of messages about its writes that it has sent
+	HasSuccessor bool         `msgpack:"h,omitempty"` // whether the process is ending and a successor takes its name
 }
 
-// valid reports whether the figures of a heartbeat are within their bounds.
+// valid reports whether the numbers in a heartbeat are within their bounds.
 func (h *Heartbeat) valid() bool {
 	return h.Demand >= 0 && h.Demand < 1e9 && h.BaseQuota >= 0 && h.BaseQuota <= 1
 }
 
-// sentHeartbeat identifies a heartbeat of this proxy, and says when it was written.
+// sentHeartbeat identifies a heartbeat of this proxy and holds the time at which it was written.
 type sentHeartbeat struct {
 	sequence    int64
 	incarnation int64
 	at          Time
 }
 
-// heartbeatLog knows the latest heartbeats of this proxy, which the leases of other proxies refer to.
+// heartbeatLog records the latest heartbeats of this proxy. Leases granted by other proxies refer to them.
 type heartbeatLog struct {
 	lastAt Time
-	recent [16]sentHeartbeat // the newest first
+	recent [16]sentHeartbeat // newest first
 }
 
+// record adds a heartbeat and drops the oldest one.
 func (l *heartbeatLog) record(sent sentHeartbeat) {
 	copy(l.recent[1:], l.recent[:len(l.recent)-1])
 	l.recent[0] = sent
 }
 
-// find returns the heartbeat of an incarnation by its count.
+// find returns the heartbeat with a sequence number and incarnation, and whether it is still recorded.
 func (l *heartbeatLog) find(sequence, incarnation int64) (sentHeartbeat, bool) {
 	for _, sent := range l.recent {
 		if sent.sequence == sequence && sent.incarnation == incarnation {
@@ -73,7 +75,7 @@
 	return !s.yielded && s.now-s.heartbeats.lastAt >= s.members.heartbeatInterval()
 }
 
-// sendHeartbeat gossips a heartbeat, and sends the digest to one live peer, which finds what gossip has lost.
+// sendHeartbeat gossips a heartbeat. It also sends the digest to one random live peer, to repair what gossip has lost.
 func (s *Store) sendHeartbeat() {
 	s.heartbeats.lastAt = s.now
 	heartbeat := Heartbeat{
@@ -92,7 +94,7 @@
 	}
 	body, err := msgpack.Marshal(&heartbeat)
 	if err != nil {
-		panic(err) // all fields are plain values, which can always be encoded
+		panic(err) // never happens: all fields have types that can always be encoded
 	}
 	s.heartbeats.record(sentHeartbeat{sequence: s.ownSequence + 1, incarnation: s.settings.Incarnation, at: s.now})
 	s.writeOwn(Row{
@@ -101,6 +103,7 @@
 	s.sendRandomDigest()
 }
 
+// sendRandomDigest sends the digest to a random member, if that is a live peer and this proxy is not catching up.
 func (s *Store) sendRandomDigest() {
 	count := len(s.members.all)
 	if count <= 1 || s.sync.active {
@@ -112,7 +115,8 @@
 	}
 }
 
-// handleHeartbeat takes a heartbeat that was just stored: this proxy's own, or another's.
+// handleHeartbeat updates members and quota leases from a heartbeat that was just stored, of this proxy or of another
+// one. A malformed heartbeat is counted as rejected.
 func (s *Store) handleHeartbeat(heartbeat *storedRow) {
 	sender := s.members.findOrAdd(heartbeat.Key)
 	if sender == nil {
--- a/replica/members.go
+++ b/replica/members.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	maxMembers = 4096
+	maxMembers = 4096 // maximum number of members
 
-	// departureTTL is the time to live of a departure record. The proxy counts as a member of the fleet until then.
+	// departureTTL is the time to live of a departure record. Until it expires the proxy counts as a member of the fleet.
 	departureTTL = 1800 * Second
 
-	// missedHeartbeats is the number of heartbeat intervals after which a silent proxy is probed, or with a successor
-	// that has to start first, missedWithSuccessor.
+	// missedHeartbeats is the number of heartbeat intervals after which a silent proxy is probed. For a proxy with a
+	// successor, which has to start first, the number is missedWithSuccessor.
 	missedHeartbeats    = 2
 	missedWithSuccessor = 6
 
@@ -22,7 +22,7 @@
 	probeInterval = Second
 )
 
-// MemberState is the state of a proxy, under the name that the operators' calls show.
+// MemberState is the state of a proxy, as the admin API shows it.
 type MemberState string
 
 const (
@@ -41,35 +41,36 @@
 	Name         string
 	Incarnation  int64
 	State        MemberState
-	HeartbeatAge Time // since its latest heartbeat was written
+	HeartbeatAge Time // time since its latest heartbeat was written
 	Heartbeat
 }
 
-// member is what is known of a proxy.
+// member is the state that this proxy records about a proxy of the fleet, itself included.
 type member struct {
 	name         string
 	incarnation  int64
-	heartbeat    *storedRow // its latest heartbeat, nil if none is stored
+	heartbeat    *storedRow // its latest heartbeat; nil if none is stored
 	report       Heartbeat  // the body of its latest heartbeat
 	departed     bool       // its latest incarnation has ended, and the takeover delay has passed
-	acknowledged bool       // it knows the incarnation of this proxy, and does not take that for departed
-	probedAt     Time
+	acknowledged bool       // its view contains the incarnation of this proxy, not marked as departed
+	probedAt     Time       // time of the last connect probe
 }
 
-// membership lists the proxies of the fleet, this one included, with what their heartbeats and departure records say.
+// membership lists the proxies of the fleet, this one included, with the state reported by their heartbeats and departure
+// records.
 type membership struct {
 	settings    *Settings
 	rows        *rowTable
-	all         []*member // by name
+	all         []*member // sorted by name
 	byName      map[string]*member
-	recentViews [16]uint64 // latest hashes of this proxy's view of the fleet, the newest first
+	recentViews [16]uint64 // latest hashes of this proxy's view of the fleet, newest first
 }
 
 func newMembership(settings *Settings, rows *rowTable) *membership {
 	return &membership{settings: settings, rows: rows, byName: map[string]*member{}}
 }
 
-// findOrAdd returns the member of a name, nil if it is new and there are too many.
+// findOrAdd returns the member with a name, and adds it if it is new. It returns nil if there are already maxMembers.
 func (m *membership) findOrAdd(name string) *member {
 	if found := m.byName[name]; found != nil {
 		return found
@@ -86,7 +87,7 @@
 	return added
 }
 
-// removeIf removes the members for which remove returns true. It calls remove once for each member, by name.
+// removeIf removes the members for which remove returns true. It calls remove once for each member, in order of names.
 func (m *membership) removeIf(remove func(*member) bool) {
 	m.all = slices.DeleteFunc(m.all, func(other *member) bool {
 		if !remove(other) {
@@ -97,7 +98,7 @@
 	})
 }
 
-// forgetHeartbeat is called when a stored row has expired.
+// forgetHeartbeat clears the heartbeat of a member if that is the given row, which has expired.
 func (m *membership) forgetHeartbeat(row *storedRow) {
 	if owner := m.byName[row.Key]; owner != nil && owner.heartbeat == row {
 		owner.heartbeat = nil
@@ -107,10 +108,11 @@
 // isSelf reports whether a member is this proxy.
 func (m *membership) isSelf(other *member) bool { return other.name == m.settings.Name }
 
-// fleetSize is the number of proxies in the fleet, departed ones included: those configured, or those known if that
-// is more.
+// fleetSize returns the number of proxies in the fleet, departed ones included: the configured size or the number of
+// members, whichever is larger.
 func (m *membership) fleetSize() int { return max(len(m.all), m.settings.FleetSize) }
 
+// departedCount returns the number of members that have departed.
 func (m *membership) departedCount() int {
 	count := 0
 	for _, other := range m.all {
@@ -121,13 +123,13 @@
 	return count
 }
 
-// heartbeatInterval is the time between two heartbeats of a proxy.
+// heartbeatInterval returns the time between two heartbeats of a proxy.
 func (m *membership) heartbeatInterval() Time {
 	return minHeartbeatInterval + Time(len(m.all))*heartbeatSpacing
 }
 
-// heartbeatTimeout is the age of its latest heartbeat from which on a proxy is probed. One with a successor gets
-// longer: connections to it are refused until the successor listens, though its name has not departed.
+// heartbeatTimeout returns the age of its latest heartbeat above which a proxy is probed. It is longer for a proxy with
+// a successor: connections are refused until the successor listens, although the proxy of that name has not departed.
 func (m *membership) heartbeatTimeout(other *member) Time {
 	if other.report.HasSuccessor {
 		return missedWithSuccessor * m.heartbeatInterval()
@@ -135,7 +137,8 @@
 	return missedHeartbeats * m.heartbeatInterval()
 }
 
-// live reports whether the heartbeats of a proxy still arrive, from itself or by others.
+// live reports whether heartbeats of a proxy still arrive, directly or forwarded by other proxies. This proxy itself is
+// always live.
 func (m *membership) live(other *member, now Time) bool {
 	if m.isSelf(other) {
 		return true
@@ -145,22 +148,23 @@
 		!m.incarnationEnded(other)
 }
 
-// incarnationEnded reports whether there is a departure record for the incarnation of a proxy's latest heartbeat. Later
-// heartbeats of that incarnation change nothing: a process that was wrongly recorded as departed takes a new
-// incarnation.
+// incarnationEnded reports whether a departure record is stored for the incarnation of a proxy's latest heartbeat. Later
+// heartbeats of that incarnation have no effect: a process that was wrongly recorded as departed takes a new incarnation.
 func (m *membership) incarnationEnded(other *member) bool {
 	departure := m.rows.departure(other.name)
 	return departure != nil && other.heartbeat != nil && departure.Epoch >= other.heartbeat.Epoch
 }
 
-// needsProbe reports whether a proxy is silent, so that a connect probe has to find whether its process has ended.
+// needsProbe reports whether a proxy is silent and must be probed by a connection to detect whether its process has
+// ended.
 func (m *membership) needsProbe(other *member, now Time) bool {
 	return !m.isSelf(other) && other.heartbeat != nil && !m.incarnationEnded(other) &&
 		now-other.heartbeat.writtenAt > m.heartbeatTimeout(other) && now-other.probedAt >= probeInterval
 }
 
-// viewHash is a hash of who is in the fleet, with which incarnation, and who has departed. It is remembered, so that
-// the heartbeats of others that name it acknowledge this incarnation.
+// viewHash returns a hash of this proxy's view of the fleet: its size, the members, their incarnations, and which of
+// them have departed. The hash is recorded, since a heartbeat of another proxy with the same hash acknowledges this
+// incarnation.
 func (m *membership) viewHash() uint64 {
 	view := uint64(m.fleetSize())
 	for _, other := range m.all {
@@ -180,14 +184,15 @@
 	return view
 }
 
-// recordHeartbeat takes the latest heartbeat of a proxy.
+// recordHeartbeat updates a member from its latest heartbeat. An acknowledgement remains valid for the incarnation of the
+// member that sent it.
 func (m *membership) recordHeartbeat(other *member, heartbeat *storedRow, report *Heartbeat) {
 	sameView := report.ViewHash != 0 && slices.Contains(m.recentViews[:], report.ViewHash)
 	other.acknowledged = other.acknowledged && heartbeat.Epoch == other.incarnation || sameView
 	other.heartbeat, other.report, other.incarnation = heartbeat, *report, heartbeat.Epoch
 }
 
-// resetAcknowledgements is called when this proxy takes a new incarnation.
+// resetAcknowledgements discards all acknowledgements. It is called when this proxy takes a new incarnation.
 func (m *membership) resetAcknowledgements() {
 	for _, other := range m.all {
 		other.acknowledged = false
@@ -195,8 +200,8 @@
 	clear(m.recentViews[:])
 }
 
-// allAcknowledged reports whether each proxy of the fleet is known, and has departed or acknowledged this incarnation.
-// One that was never known may be on the other side of a network partition.
+// allAcknowledged reports whether each proxy of the fleet is a member and has departed or acknowledged this incarnation.
+// A proxy that is missing from the members may be on the other side of a network partition.
 func (m *membership) allAcknowledged() bool {
 	for _, other := range m.all {
 		if !other.departed && !other.acknowledged && !m.isSelf(other) {
@@ -206,7 +211,7 @@
 	return len(m.all) >= m.fleetSize()
 }
 
-// list returns all known proxies by name.
+// list returns all members, sorted by name.
 func (m *membership) list(now Time) []Member {
 	all := make([]Member, 0, len(m.all))
 	for _, other := range m.all {
@@ -221,7 +226,7 @@
 	return all
 }
 
-// stateOf returns the state of a proxy at an instant.
+// stateOf returns the state of a proxy at time now.
 func (m *membership) stateOf(other *member, now Time) MemberState {
 	switch {
 	case m.live(other, now):
