--- a/replica/writes.go
+++ b/replica/writes.go
@@ -1,11 +1,11 @@
 package replica
 
 const (
-	// removedEndpointTTL is the time to live of the row of an endpoint that was removed from the list.
+	// removedEndpointTTL is the time to live of the row of an endpoint that was removed from the endpoint list.
 	removedEndpointTTL = 3600 * Second
 
-	// refuteInterval is the time between two refutations. Two processes with one name would refute each other without
-	// end, so that it is done now and then only.
+	// refuteInterval is the minimum time between two refutations. It limits their rate, since two processes with the same
+	// name refute each other endlessly.
 	refuteInterval = 5 * Second
 
 	// The ranks of a health observation.
@@ -13,9 +13,10 @@
 	notResponding = 1
 )
 
-// ApplyEndpointList takes endpoints from the endpoint list with the given index: the complete list, or the changes. Each endpoint
-// is a row with its key, rank, count and body. One that is stored already is not written again, since each proxy that
-// starts would have the complete list gossiped. Endpoints that a complete list lacks were removed.
+// ApplyEndpointList writes the rows of endpoints from the endpoint list with the given index, either the complete list or
+// only its changes. Of each row, Key, Rank, Sequence and Body are used. A row that is already stored with the same rank
+// and sequence number is not written again: otherwise each proxy that starts would cause the complete list to be gossiped.
+// Endpoints that are missing from a complete list are marked as removed.
 func (s *Store) ApplyEndpointList(now Time, complete bool, index int64, endpoints []Row) []Decision {
 	s.begin(now)
 	listed := make(map[string]bool, len(endpoints))
@@ -29,6 +30,7 @@
 	return s.out.decisions
 }
 
+// writeEndpoint writes the row of an endpoint, unless its rank and sequence number are already stored.
 func (s *Store) writeEndpoint(index int64, row Row) {
 	row.Kind, row.Writer, row.Epoch, row.Age = KindEndpoint, "", index, 0
 	if row.Rank == EndpointRemoved {
@@ -40,7 +42,8 @@
 	}
 }
 
-// removeUnlisted writes the removal of the endpoints that the complete list with the given index lacks.
+// removeUnlisted marks the stored endpoints as removed that are missing from the complete list with the given index and
+// come from an earlier list.
 func (s *Store) removeUnlisted(index int64, listed map[string]bool) {
 	var removed []Row
 	s.rows.forEach(KindEndpoint, func(row *storedRow) {
@@ -55,7 +58,7 @@
 	}
 }
 
-// RecordHealth writes a health observation of this proxy: whether an endpoint responds.
+// RecordHealth writes a health observation of this proxy, which states whether an endpoint responds.
 func (s *Store) RecordHealth(now Time, endpoint string, responds bool) []Decision {
 	s.begin(now)
 	row := Row{Kind: KindHealthObservation, Key: endpoint, TTL: s.settings.ObservationTTL, Rank: notResponding}
@@ -66,7 +69,7 @@
 	return s.out.decisions
 }
 
-// WriteOwn writes an own row with a time to live, unless this proxy has yielded.
+// WriteOwn writes an own row of this proxy with a time to live, unless the proxy has yielded.
 func (s *Store) WriteOwn(now Time, kind Kind, key string, ttl Time, body []byte) []Decision {
 	s.begin(now)
 	if !s.yielded {
@@ -75,7 +78,7 @@
 	return s.out.decisions
 }
 
-// WriteShared writes a shared row. Its Writer and Age are ignored.
+// WriteShared writes a shared row. Writer and Age of the given row are ignored.
 func (s *Store) WriteShared(now Time, row Row) []Decision {
 	s.begin(now)
 	row.Writer, row.Age = "", 0
@@ -83,7 +86,7 @@
 	return s.out.decisions
 }
 
-// HandleRows handles rows that a peer sent. Those out of their bounds are rejected and counted.
+// HandleRows handles rows that a peer sent. Invalid rows are rejected and counted.
 func (s *Store) HandleRows(now Time, from string, rows []Row) []Decision {
 	s.begin(now)
 	for i := range rows {
@@ -95,7 +98,7 @@
 	return s.out.decisions
 }
 
-// writeOwn writes an own row of this proxy.
+// writeOwn writes an own row of this proxy with its incarnation and the next sequence number.
 func (s *Store) writeOwn(row Row) {
 	s.ownSequence++
 	row.Writer, row.Epoch, row.Sequence = s.settings.Name, s.settings.Incarnation, s.ownSequence
@@ -110,8 +113,8 @@
 	}
 }
 
-// writeReceived stores a row that a peer sent, if it is valid and newer than the stored version, and tells the caller.
-// A row that contradicts what this process says about itself is refuted.
+// writeReceived stores a row that a peer sent, if it is valid and newer than the stored version, and reports the change
+// to the caller. A row about this proxy that is newer than this process's own rows is refuted.
 func (s *Store) writeReceived(from string, row *Row) {
 	id := rowID(row)
 	if !s.validateRow(id, row) {
@@ -126,7 +129,8 @@
 	}
 }
 
-// validateRow notes that a row has arrived, and reports whether it is valid.
+// validateRow removes a row from the outstanding requests of the sync, and reports whether it is valid. An invalid row is
+// counted as rejected.
 func (s *Store) validateRow(id uint64, row *Row) bool {
 	delete(s.sync.requested, id)
 	if !row.valid() {
@@ -136,7 +140,8 @@
 	return true
 }
 
-// store stores a row and has it gossiped, if it is newer than the stored version. Otherwise it returns nil.
+// store stores a row and gossips it, if it is newer than the stored version and the table has capacity. Otherwise it
+// returns nil.
 func (s *Store) store(id uint64, row *Row) *storedRow {
 	current := s.rows.byID[id]
 	if current != nil && row.compare(&current.Row) <= 0 {
@@ -157,15 +162,15 @@
 	return stored
 }
 
-// aboutSelf reports whether a row was written in this proxy's name, or says that this proxy has departed.
+// aboutSelf reports whether a row has this proxy as its writer or is a departure record of this proxy.
 func (s *Store) aboutSelf(row *Row) bool {
 	return row.Writer == s.settings.Name || row.Kind == KindDeparture && row.Key == s.settings.Name
 }
 
-// refute makes sure that the next own rows are newer than a received row about this proxy, which an earlier process of
-// this name wrote, or another at the same time, or which says that this one has departed. Otherwise the old rows would
-// stay current for good after a clock that steps back between two starts. It returns false if the row has to be
-// ignored.
+// refute ensures that the next own rows are newer than a received row about this proxy. The row comes from an earlier or
+// a concurrent process of this name, or is a departure record of this proxy. Without a refutation, rows of the earlier
+// process would stay current forever if the clock stepped back between the two starts. It returns false if the row must
+// be ignored.
 func (s *Store) refute(row *Row) bool {
 	incarnation := s.settings.Incarnation
 	switch {
@@ -182,7 +187,8 @@
 	return true
 }
 
-// takeIncarnation goes on with a later incarnation, which the others have to acknowledge anew.
+// takeIncarnation continues with a later incarnation. The other proxies must acknowledge it before the quota is confirmed
+// again, and a heartbeat is due at once.
 func (s *Store) takeIncarnation(incarnation int64) {
 	s.settings.Incarnation = incarnation
 	s.quota.confirmed = false
