--- a/replica/antientropy_test.go
+++ b/replica/antientropy_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// deliverSync delivers the messages of anti-entropy, and the replies to them, at once.
+// deliverSync delivers the messages of anti-entropy and all replies to them without delay.
 func deliverSync(replicas map[string]*Store, from string, decisions []Decision) {
 	for _, d := range slices.Clone(decisions) {
 		to := replicas[d.Peer]
@@ -24,8 +24,8 @@
 	}
 }
 
-// Three replicas that each have a part of the rows agree by digests alone, without gossip, in whatever order these are
-// sent.
+// TestDigestsAloneConverge checks that three replicas, each with a part of the rows, converge by exchanging digests,
+// without gossip and in any order.
 func TestDigestsAloneConverge(t *testing.T) {
 	for _, names := range [][]string{
 		{"a", "b", "c"}, {"a", "c", "b"}, {"b", "a", "c"}, {"b", "c", "a"}, {"c", "a", "b"}, {"c", "b", "a"},
@@ -44,13 +44,14 @@
 			}
 			a, b, c := replicas["a"], replicas["b"], replicas["c"]
 			if a.Digest() != b.Digest() || b.Digest() != c.Digest() || a.KindStats()[KindEndpoint].Rows != 22 {
-				t.Error("the replicas differ")
+				t.Error("the replicas have not converged to the 22 rows")
 			}
 		})
 	}
 }
 
-// The size of the messages follows from what was missed, not from how much is stored.
+// TestCatchUpSendsOnlyWhatDiffers checks that the size of the messages depends on the number of missed rows, not on the
+// number of stored rows.
 func TestCatchUpSendsOnlyWhatDiffers(t *testing.T) {
 	rows := make([]Row, 2000)
 	for i := range rows {
@@ -62,31 +63,33 @@
 	a.ApplyEndpointList(0, false, 2, []Row{{Key: "c7", Rank: EndpointDraining}})
 	reply := withAction(a.HandleDigest(0, "b", b.Digest()), ActionSendVersions)[0]
 	if count := len(reply.Versions); count > 100 {
-		t.Errorf("%d versions for one row", count)
+		t.Errorf("got %d versions for one changed row, want at most 100", count)
 	}
 	decisions := b.HandleVersions(0, "a", reply.Buckets, reply.Versions)
 	request := withAction(decisions, ActionRequestRows)
 	if len(request) != 1 || len(request[0].RowIDs) != 1 || len(withAction(decisions, ActionSendRows)) != 1 {
-		t.Errorf("%+v", decisions)
+		t.Errorf("got decisions %+v, want one request of one row and one message with rows", decisions)
 	}
 }
 
-// A few peers are helped at a time; the others are told at once to poll another.
+// TestDigestRepliesAreLimited checks that a limited number of digests is answered with versions, and the others with a
+// busy reply at once.
 func TestDigestRepliesAreLimited(t *testing.T) {
 	replica := newReplica("a", 9)
 	replica.ApplyEndpointList(0, true, 1, []Row{{Key: "c1"}})
-	helped, busy := 0, 0
+	replied, busy := 0, 0
 	for range 10 {
 		decisions := replica.HandleDigest(0, "b", Digest{})
-		helped += len(withAction(decisions, ActionSendVersions))
+		replied += len(withAction(decisions, ActionSendVersions))
 		busy += len(withAction(decisions, ActionReplyBusy))
 	}
-	if helped != maxDigestReplies || busy != 10-maxDigestReplies {
-		t.Errorf("%d helped, %d not", helped, busy)
+	if replied != maxDigestReplies || busy != 10-maxDigestReplies {
+		t.Errorf("got %d replies with versions and %d busy replies", replied, busy)
 	}
 }
 
-// A proxy that was suspended is catching up, with its quota at the floor, until a timeout though no peer helps.
+// TestSuspendedProxyCatchesUp checks that a proxy that was suspended catches up with its quota at the floor, and that this
+// ends after a timeout if no peer replies.
 func TestSuspendedProxyCatchesUp(t *testing.T) {
 	replica := newReplica("a", 1)
 	now := Time(0)
@@ -109,8 +112,8 @@
 	}
 }
 
-// A proxy that starts before any peer is live polls the first one at the tick after its heartbeat, without waiting for
-// the timeout of a poll that was never sent.
+// TestFirstLivePeerIsPolledAtOnce checks that a proxy that starts before any peer is live polls the first peer at the tick
+// after that peer's heartbeat, and does not wait for the timeout of a poll that was never sent.
 func TestFirstLivePeerIsPolledAtOnce(t *testing.T) {
 	a, b := newReplica("a", 2), newReplica("b", 2)
 	a.Tick(0)
@@ -118,6 +121,6 @@
 		a.HandleRows(Second/20, "b", d.Rows)
 	}
 	if polls := withAction(a.Tick(testTick), ActionSendDigest); len(polls) != 1 || polls[0].Peer != "b" {
-		t.Errorf("%+v", polls)
+		t.Errorf("got polls %+v, want one of b", polls)
 	}
 }
--- a/replica/helpers_test.go
+++ b/replica/helpers_test.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// testTick is the time between two ticks.
+// testTick is the time between two ticks in tests.
 const testTick = Second / 10
 
-// newReplica returns a replica with an incarnation of one, at time zero.
+// newReplica returns a replica with incarnation 1 at time 0.
 func newReplica(name string, proxies int) *Store {
 	return New(0, Settings{
 		Name: name, Incarnation: 1, FleetSize: proxies, Address: name + ":1",
@@ -13,7 +13,7 @@
 	}, 1)
 }
 
-// withAction returns the decisions with an act.
+// withAction returns the decisions with the given action.
 func withAction(decisions []Decision, action Action) (found []Decision) {
 	for _, d := range decisions {
 		if d.Action == action {
@@ -23,10 +23,10 @@
 	return found
 }
 
-// tickCopy ticks and returns the decisions in a slice that the next call does not reuse.
+// tickCopy calls Tick and returns a copy of the decisions, which the next call does not overwrite.
 func (s *Store) tickCopy(now Time) []Decision { return slices.Clone(s.Tick(now)) }
 
-// endpointRow returns the stored row of an endpoint.
+// endpointRow returns the row of an endpoint with its current age, and whether it is stored.
 func (s *Store) endpointRow(key string) (found Row, stored bool) {
 	s.rows.forEach(KindEndpoint, func(row *storedRow) {
 		if row.Key == key {
--- a/replica/members_test.go
+++ b/replica/members_test.go
@@ -2,22 +2,24 @@
 
 import "testing"
 
-// A proxy that has yielded to another of its name sends no heartbeat, also not when it has caught up.
+// TestYieldedProxySendsNoHeartbeat checks that a proxy that has yielded to another process of its name sends no heartbeat,
+// not even when it finishes catching up.
 func TestYieldedProxySendsNoHeartbeat(t *testing.T) {
 	replica := newReplica("a", 1)
 	replica.SetYielded(true)
 	for now := Time(0); now < 5*Second; now += testTick {
 		if sent := withAction(replica.Tick(now), ActionGossip); len(sent) > 0 {
-			t.Fatalf("%+v", sent[0].Rows)
+			t.Fatalf("sent rows %+v", sent[0].Rows)
 		}
 	}
 	if replica.CatchingUp() {
-		t.Error("it is still catching up")
+		t.Error("the proxy is still catching up")
 	}
 }
 
-// A proxy with a successor says so in its last heartbeat. The successor may take more than two heartbeats to start on a
-// busy machine, and nothing listens meanwhile: the name has not departed. Without a successor the proxy is probed soon.
+// TestProxyWithSuccessorIsProbedLater checks that a proxy whose last heartbeat announces a successor is probed later than
+// one without. On an overloaded machine the successor may take more than two heartbeat intervals to start. No process
+// listens in the meantime, and an earlier probe would record the proxy as departed.
 func TestProxyWithSuccessorIsProbedLater(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -39,13 +41,13 @@
 				}
 			}
 			if late := probedAt > 7*Second; probedAt == 0 || late != c.successor {
-				t.Errorf("probed at %v", probedAt)
+				t.Errorf("first probe at %v", probedAt)
 			}
 		})
 	}
 }
 
-// pair is two replicas that exchange rows at each tick.
+// pair holds two replicas that exchange rows at each tick unless they are partitioned.
 type pair struct {
 	now  Time
 	a, b *Store
@@ -57,7 +59,7 @@
 	}
 }
 
-// advanceConnected lets time pass for both replicas.
+// advanceConnected advances the time of both replicas, which receive each other's rows.
 func (p *pair) advanceConnected(span Time) {
 	for end := p.now + span; p.now < end; p.now += testTick {
 		p.deliver(p.b, p.a, p.b.tickCopy(p.now))
@@ -65,7 +67,7 @@
 	}
 }
 
-// advancePartitioned lets time pass for a alone, and returns how many probes a decided on.
+// advancePartitioned advances the time of replica a only, and returns the number of probes that it requested.
 func (p *pair) advancePartitioned(span Time) (probes int) {
 	for end := p.now + span; p.now < end; p.now += testTick {
 		probes += len(withAction(p.a.Tick(p.now), ActionProbe))
@@ -73,8 +75,8 @@
 	return probes
 }
 
-// A silent proxy keeps its quota. That of a departed one is taken over after the takeover delay, and returned when a
-// process with the same name is back.
+// TestQuotaOfDepartedProxyIsTakenOver checks that a silent proxy keeps its quota, and that the quota of a departed proxy is
+// taken over after the takeover delay and returned when a process with the same name starts.
 func TestQuotaOfDepartedProxyIsTakenOver(t *testing.T) {
 	p := &pair{a: newReplica("a", 2), b: newReplica("b", 2)}
 	if p.advanceConnected(8 * Second); p.a.QuotaShare() != 0.5 || p.b.QuotaShare() != 0.5 {
@@ -84,22 +86,22 @@
 		t.Errorf("silent: share %v, %d probes", p.a.QuotaShare(), probes)
 	}
 	if p.a.ConnectionRefused(p.now, "b", 7); p.a.members.incarnationEnded(p.a.members.byName["b"]) {
-		t.Error("an incarnation that never was is believed to have ended")
+		t.Error("a refused connection to an unknown incarnation is recorded as the end of the current one")
 	}
 	p.a.ConnectionRefused(p.now, "b", 1)
 	if p.advancePartitioned(Second); p.a.QuotaShare() != 0.5 {
-		t.Errorf("before the takeover delay: %v", p.a.QuotaShare())
+		t.Errorf("share before the takeover delay: %v", p.a.QuotaShare())
 	}
 	if p.advancePartitioned(p.a.quota.leaseDuration()); p.a.QuotaShare() != 1-0.25/2 {
-		t.Errorf("after it: %v", p.a.QuotaShare())
+		t.Errorf("share after the takeover delay: %v", p.a.QuotaShare())
 	}
 	p.b = newReplica("b", 2)
 	p.b.settings.Incarnation, p.b.tickedAt = 2, p.now
 	p.deliver(p.b, p.a, p.b.tickCopy(p.now))
 	if p.advanceConnected(Second / 2); p.a.QuotaShare() != 0.5 || p.b.QuotaShare() > 0.25/2 {
-		t.Errorf("back: %v %v", p.a.QuotaShare(), p.b.QuotaShare())
+		t.Errorf("shares after the restart: %v %v", p.a.QuotaShare(), p.b.QuotaShare())
 	}
 	if p.advanceConnected(8 * Second); p.a.QuotaShare() != 0.5 || p.b.QuotaShare() != 0.5 {
-		t.Errorf("confirmed again: %v %v", p.a.QuotaShare(), p.b.QuotaShare())
+		t.Errorf("shares after the quota is confirmed again: %v %v", p.a.QuotaShare(), p.b.QuotaShare())
 	}
 }
--- a/replica/msgpack_test.go
+++ b/replica/msgpack_test.go
@@ -6,7 +6,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// encode returns the encoding of a value.
+// encode returns the msgpack encoding of a value. It fails the test on an error.
 func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	encoded, err := msgpack.Marshal(value)
@@ -16,7 +16,7 @@
 	return encoded
 }
 
-// decode decodes into the value that a pointer points to.
+// decode decodes msgpack into the value that pointer points to. It fails the test on an error.
 func decode(t *testing.T, encoded []byte, pointer any) {
 	t.Helper()
 	if err := msgpack.Unmarshal(encoded, pointer); err != nil {
--- a/replica/quota_test.go
+++ b/replica/quota_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// fleet is replicas that receive each other's rows at once. A departed one is nil.
+// fleet holds replicas that receive each other's rows without delay. The replica of a departed proxy is nil.
 type fleet struct {
 	now      Time
 	names    []string
 	replicas map[string]*Store
 }
 
-// advance lets time pass, and calls afterTick, if it is not nil, after each tick.
+// advance advances the time of all replicas. It calls afterTick after each tick unless afterTick is nil.
 func (f *fleet) advance(span Time, afterTick func()) {
 	for end := f.now + span; f.now < end; f.now += testTick {
 		for _, name := range f.names {
@@ -23,7 +23,7 @@
 	}
 }
 
-// tick has one replica tick, and delivers its rows to the others.
+// tick calls Tick of one replica and delivers its rows to the others.
 func (f *fleet) tick(name string) {
 	for _, d := range withAction(f.replicas[name].tickCopy(f.now), ActionGossip) {
 		for _, to := range f.names {
@@ -34,6 +34,7 @@
 	}
 }
 
+// totalShare returns the sum of the shares of all replicas.
 func (f *fleet) totalShare() float64 {
 	total := 0.0
 	for _, replica := range f.replicas {
@@ -44,8 +45,8 @@
 	return total
 }
 
-// What a proxy has leased out is not used a second time when its process ends or restarts: the others wait until the
-// lease has expired, and so does the new process.
+// TestLeaseOutlivesLender checks that leased quota is not used twice when the process of the lender ends or restarts: the
+// other proxies, and the new process of the lender, wait until the lease has expired.
 func TestLeaseOutlivesLender(t *testing.T) {
 	f := &fleet{names: []string{"a", "b", "c"}, replicas: map[string]*Store{}}
 	for i, name := range f.names {
@@ -55,17 +56,17 @@
 	}
 	f.advance(15*Second, nil)
 	if a, c := f.replicas["a"].QuotaShare(), f.replicas["c"].QuotaShare(); a > 0.17 || c < 0.6 {
-		t.Fatalf("shares %.3f and %.3f by demand", a, c)
+		t.Fatalf("got shares %.3f and %.3f with leases by demand, want at most 0.17 and at least 0.6", a, c)
 	}
 	restarted := restartedReplica("a", 3, f.now)
 	f.replicas["a"] = restarted
 	f.advance(6*Second, func() {
 		if total := f.totalShare(); total > 1+1e-9 {
-			t.Fatalf("at %d: %.3f together", f.now, total)
+			t.Fatalf("at %d: sum of the shares is %.3f, want at most 1", f.now, total)
 		}
 	})
 	if restarted.QuotaShare() < 0.1 {
-		t.Errorf("the new process has %.3f", restarted.QuotaShare())
+		t.Errorf("the new process has share %.3f, want at least 0.1", restarted.QuotaShare())
 	}
 	f.replicas["a"] = nil
 	for _, name := range []string{"b", "c"} {
@@ -73,15 +74,15 @@
 	}
 	f.advance(3*Second, func() {
 		if f.replicas["b"].members.departedCount() > 0 {
-			t.Fatal("its share is taken over before the leases that it granted have expired")
+			t.Fatal("the share of a is taken over before the leases that it granted have expired")
 		}
 	})
 	if f.advance(3*Second, nil); f.replicas["b"].members.departedCount() != 1 {
-		t.Error("its share is never taken over")
+		t.Error("the share of a is not taken over")
 	}
 }
 
-// restartedReplica returns a replica with an incarnation of two, which has caught up already.
+// restartedReplica returns a replica with incarnation 2 that has already caught up.
 func restartedReplica(name string, proxies int, now Time) *Store {
 	restarted := newReplica(name, proxies)
 	restarted.settings.Incarnation = 2
--- a/replica/rows_test.go
+++ b/replica/rows_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// versionStore is given versions of rows and keeps one of each row.
+// versionStore receives versions of rows and stores one version of each row.
 type versionStore interface {
 	receive(Row)
 	endpointRow(key string) (Row, bool)
 	digest() uint64
 }
 
-// replicaStore is a replica as a versionStore.
+// replicaStore adapts a replica to versionStore.
 type replicaStore struct{ *Store }
 
 func (s replicaStore) receive(row Row) { s.HandleRows(s.now, "x", []Row{row}) }
 func (s replicaStore) digest() uint64  { return s.KindStats()[KindEndpoint].Digest }
 
-// lastWriteWins is a versionStore with a planted fault: it keeps what comes last.
+// lastWriteWins is a deliberately incorrect versionStore: it stores the version received last.
 type lastWriteWins map[string]Row
 
 func (s lastWriteWins) receive(row Row)                           { s[row.Key] = row }
@@ -31,7 +31,7 @@
 	return digest
 }
 
-// permute calls f with the rows in each order.
+// permute calls f once for each permutation of the rows.
 func permute(rows []Row, f func([]Row)) {
 	var permuteFrom func(start int)
 	permuteFrom = func(start int) {
@@ -48,7 +48,8 @@
 	permuteFrom(0)
 }
 
-// convergenceFault says what goes wrong, if anything, when stores receive the same versions in every order.
+// convergenceFault passes the same versions to stores in every order. It describes a step back to an older version, or a
+// difference between the final states, and returns "" if there is neither.
 func convergenceFault(newStore func() versionStore) (fault string) {
 	rows := []Row{
 		{Kind: KindEndpoint, Key: "c1", Epoch: 5, Rank: EndpointActive, Body: []byte("a")},
@@ -71,28 +72,31 @@
 		digests[store.digest()] = true
 	})
 	if len(digests) != 1 {
-		fault += fmt.Sprintf(" %d states are left", len(digests))
+		fault += fmt.Sprintf(" %d different final states", len(digests))
 	}
 	return fault
 }
 
+// TestStoredVersionDoesNotDependOnOrder checks that the stored version does not depend on the order of arrival, and that
+// the check detects a store with that fault.
 func TestStoredVersionDoesNotDependOnOrder(t *testing.T) {
 	if fault := convergenceFault(func() versionStore { return replicaStore{newReplica("n1", 3)} }); fault != "" {
 		t.Error(fault)
 	}
 	if convergenceFault(func() versionStore { return lastWriteWins{} }) == "" {
-		t.Error("the check finds nothing wrong with a store that keeps what comes last")
+		t.Error("the check does not detect a store that keeps the version received last")
 	}
 }
 
-// Rows of an unknown kind are stored, gossiped and expired as their writer says.
+// TestUnknownKindIsGossipedAndOversizedRowRejected checks that rows of an unknown kind are stored, gossiped and expired
+// after their TTL, and that rows with a field out of its bounds are rejected and counted.
 func TestUnknownKindIsGossipedAndOversizedRowRejected(t *testing.T) {
 	replica := newReplica("a", 2)
 	decisions := replica.HandleRows(0, "b", []Row{
 		{Kind: 77, Key: "order", Writer: "b", Epoch: 1, TTL: 3 * Second, Body: []byte("?")},
 	})
 	if len(withAction(decisions, ActionGossip)) != 1 || replica.KindStats()[77].Rows != 1 {
-		t.Errorf("%+v", decisions)
+		t.Errorf("the row of an unknown kind is not stored and gossiped: %+v", decisions)
 	}
 	for _, c := range []struct {
 		name string
@@ -110,12 +114,12 @@
 			before := replica.RejectedRows
 			replica.HandleRows(0, "b", []Row{c.row})
 			if replica.RejectedRows != before+1 {
-				t.Errorf("%d rejected", replica.RejectedRows-before)
+				t.Errorf("got %d rejected rows, want 1", replica.RejectedRows-before)
 			}
 		})
 	}
 	if replica.RejectedRows != 7 || replica.KindStats()[77].Rows != 1 {
-		t.Errorf("%d rejected", replica.RejectedRows)
+		t.Errorf("got %d rejected rows, want 7, and one stored row", replica.RejectedRows)
 	}
 	for now := Time(0); now < 4*Second; now += testTick {
 		replica.Tick(now)
@@ -123,11 +127,11 @@
 	digest := replica.Digest()
 	replica.expire()
 	if replica.KindStats()[77].Rows != 0 || digest != replica.Digest() {
-		t.Error("the row does not expire")
+		t.Error("the row has not expired")
 	}
 }
 
-// A row that is passed on expires no later than where it was written.
+// TestForwardedRowKeepsItsAge checks that a forwarded row expires no later than at its writer.
 func TestForwardedRowKeepsItsAge(t *testing.T) {
 	writer, reader := newReplica("a", 2), newReplica("b", 2)
 	row := withAction(writer.RecordHealth(0, "c1", false), ActionGossip)[0].Rows[0]
@@ -140,17 +144,18 @@
 	}
 }
 
+// TestRowsAndMessagesAreBounded checks the maximum numbers of stored rows and of rows in a message.
 func TestRowsAndMessagesAreBounded(t *testing.T) {
 	replica := newReplica("a", 1)
 	for i := range maxRows + 50 {
 		replica.HandleRows(0, "b", []Row{{Kind: 77, Key: fmt.Sprint(i), Writer: "b"}})
 	}
 	if replica.rows.size() != maxRows || replica.RejectedRows == 0 {
-		t.Errorf("%d rows", replica.rows.size())
+		t.Errorf("got %d stored rows, want the maximum, and rejections of the others", replica.rows.size())
 	}
 	for _, d := range withAction(replica.HandleRowRequest(0, "b", make([]uint64, 2*maxRowsRequested)), ActionSendRows) {
 		if len(d.Rows) > maxRowsPerSend {
-			t.Error("a message of", len(d.Rows))
+			t.Error("too many rows in a message:", len(d.Rows))
 		}
 	}
 }
--- a/replica/wire_golden_test.go
+++ b/replica/wire_golden_test.go
@@ -9,7 +9,7 @@
 	"woodproxy/replica"
 )
 
-// TestGoldenRows pins the encoding of a row, of the body of a heartbeat and of the row versions in replies to digests.
+// TestGoldenRows pins the encoding of rows, of heartbeat bodies, and of the row versions in replies to digests.
 func TestGoldenRows(t *testing.T) {
 	goldentest.Msgpack(t, "rows.golden", []goldentest.Value{
 		{Name: "row-full", Full: true, Value: &replica.Row{
@@ -23,13 +23,16 @@
 		{Name: "pulse-full", Full: true, Value: &replica.Heartbeat{
 			Address: "192.0.2.1:7946", Zone: "zone-1", Demand: 1234.5,
 			ViewHash: 0xfedcba9876543210, CatchingUp: true, BaseQuota: 0.25, WritesSent: 4321, HasSuccessor: true,
-			Leases: []replica.QuotaLease{{Borrower: "proxy-b", Share: 0.125, HeartbeatSequence: 17}, {Borrower: "proxy-c", Share: 0.0625, HeartbeatSequence: 70000}},
+			Leases: []replica.QuotaLease{
+				{Borrower: "proxy-b", Share: 0.125, HeartbeatSequence: 17},
+				{Borrower: "proxy-c", Share: 0.0625, HeartbeatSequence: 70000},
+			},
 		}},
 		{Name: "pulse-empty", Value: &replica.Heartbeat{}},
 	})
 }
 
-// TestRowKindNumbers pins the number that each kind of row has on the wire.
+// TestRowKindNumbers pins the wire number of each row kind.
 func TestRowKindNumbers(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -49,13 +52,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if uint8(c.got) != c.want {
-				t.Errorf("kind %d, want %d", c.got, c.want)
+				t.Errorf("got kind %d, want %d", c.got, c.want)
 			}
 		})
 	}
 }
 
-// TestMessageTypeNumbers pins the number that each act that sends a message to a peer has on the wire.
+// TestMessageTypeNumbers pins the wire number of each action that sends a message to a peer.
 func TestMessageTypeNumbers(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -72,14 +75,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if uint8(c.got) != c.want {
-				t.Errorf("act %d, want %d", c.got, c.want)
+				t.Errorf("got action %d, want %d", c.got, c.want)
 			}
 		})
 	}
 }
 
-// TestWireConstants pins the ranks of an endpoint's row, the unit of ages, and the bounds that all peers have to agree
-// on.
+// TestWireConstants pins the ranks of endpoint rows, the unit of ages, and the bounds that must be the same at all peers.
 func TestWireConstants(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -88,14 +90,14 @@
 		{"rank of an active endpoint", replica.EndpointActive, 0},
 		{"rank of a draining endpoint", replica.EndpointDraining, 1},
 		{"rank of a removed endpoint", replica.EndpointRemoved, 2},
-		{"units of time in a second", int64(replica.Second), 10000},
-		{"buckets of a digest", replica.BucketCount, 64},
-		{"longest name", replica.MaxNameBytes, 128},
-		{"longest body", replica.MaxBodyBytes, 1024},
+		{"units of Time in a second", int64(replica.Second), 10000},
+		{"buckets in a digest", replica.BucketCount, 64},
+		{"maximum name length", replica.MaxNameBytes, 128},
+		{"maximum body length", replica.MaxBodyBytes, 1024},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
-				t.Errorf("%d, want %d", c.got, c.want)
+				t.Errorf("got %d, want %d", c.got, c.want)
 			}
 		})
 	}
@@ -109,8 +111,8 @@
 	}, 1)
 }
 
-// TestRowHashes pins the hashes by which peers compare what they hold: the ID of a row, the hash of its version, and
-// what both add to the digest.
+// TestRowHashes pins the hashes by which peers compare their rows: the ID of a row, the hash of its version, and the value
+// that the row contributes to the digest.
 func TestRowHashes(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -131,7 +133,7 @@
 			0x62cc639c9394768a, 0x52b66f5e05ef379f, 0x5bc25998bb93a6cd,
 		},
 		{
-			"age and life are not hashed",
+			"age and TTL are not hashed",
 			replica.Row{Kind: replica.KindEndpoint, Key: "node-1", Epoch: 7, Rank: 2, Sequence: -3, Age: 5, TTL: 900},
 			0x62cc639c9394768a, 0x52b66f5e05ef379f, 0x5bc25998bb93a6cd,
 		},
@@ -156,35 +158,35 @@
 			store.HandleRows(0, "proxy-b", []replica.Row{c.row})
 			version, sum := onlyVersion(t, store)
 			if version.RowID != c.id || version.VersionHash != c.version || sum != c.sum {
-				t.Errorf("ID %#016x version %#016x sum %#016x, want %#016x %#016x %#016x",
+				t.Errorf("got ID %#016x version %#016x sum %#016x, want %#016x %#016x %#016x",
 					version.RowID, version.VersionHash, sum, c.id, c.version, c.sum)
 			}
 			if figures := store.KindStats()[c.row.Kind]; figures.Rows != 1 || figures.Digest != c.sum {
-				t.Errorf("digest of the kind %+v, want %#016x", figures, c.sum)
+				t.Errorf("got stats of the kind %+v, want one row with digest %#016x", figures, c.sum)
 			}
 		})
 	}
 }
 
-// onlyVersion returns the version of the only row that a replica has stored, and that row's part in the digest, which
-// has to be in the bucket that the lowest bits of the row's ID select.
+// onlyVersion returns the version of the only stored row of a replica and the value that the row contributes to the
+// digest. It checks that only the bucket selected by the lowest bits of the row's ID is not zero.
 func onlyVersion(t *testing.T, store *replica.Store) (replica.RowVersion, uint64) {
 	t.Helper()
 	decisions := store.HandleDigest(0, "proxy-b", invertedDigest(store))
 	if len(decisions) != 1 || decisions[0].Action != replica.ActionSendVersions || len(decisions[0].Versions) != 1 {
-		t.Fatalf("answer to a digest: %+v", decisions)
+		t.Fatalf("got reply to a digest %+v, want one version", decisions)
 	}
 	version := decisions[0].Versions[0]
 	sums := store.Digest()
 	for i, sum := range sums {
 		if (sum != 0) != (uint64(i) == version.RowID%64) {
-			t.Errorf("bucket %d has sum %#x with ID %#x", i, sum, version.RowID)
+			t.Errorf("bucket %d has digest %#x for a row with ID %#x", i, sum, version.RowID)
 		}
 	}
 	return version, sums[version.RowID%64]
 }
 
-// invertedDigest is a digest that differs from a replica's in each bucket.
+// invertedDigest returns a digest that differs from the replica's digest in each bucket.
 func invertedDigest(store *replica.Store) replica.Digest {
 	sums := store.Digest()
 	for i := range sums {
@@ -193,7 +195,7 @@
 	return sums
 }
 
-// TestDigestSums pins the digest of several rows, of which two share a bucket.
+// TestDigestSums pins the digest of several rows, two of which are in the same bucket.
 func TestDigestSums(t *testing.T) {
 	store := newEmptyReplica()
 	var rows []replica.Row
@@ -221,13 +223,13 @@
 	if got := store.Digest(); got != want {
 		for i, sum := range got {
 			if sum != want[i] {
-				t.Errorf("bucket %d: %#016x, want %#016x", i, sum, want[i])
+				t.Errorf("bucket %d: got %#016x, want %#016x", i, sum, want[i])
 			}
 		}
 	}
 }
 
-// TestViewHash pins the hash of the fleet's view that a heartbeat carries.
+// TestViewHash pins the hash of a proxy's view of the fleet in its heartbeats.
 func TestViewHash(t *testing.T) {
 	known := []replica.Row{
 		heartbeatRow(t, "proxy-b", 1700000000001),
@@ -241,26 +243,26 @@
 	}{
 		{"alone", nil, 0x1c4c4c49df960e31},
 		{"three proxies", known, 0xbbc7b895a9bf29c3},
-		{"one is gone", append(known, departure), 0x78160c6d5104bfa7},
+		{"one has departed", append(known, departure), 0x78160c6d5104bfa7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			store := newEmptyReplica()
 			store.HandleRows(0, "proxy-b", c.rows)
 			if got := lastHeartbeat(t, store, 20*replica.Second).ViewHash; got != c.want {
-				t.Errorf("%#016x, want %#016x", got, c.want)
+				t.Errorf("got %#016x, want %#016x", got, c.want)
 			}
 		})
 	}
 }
 
-// heartbeatRow is a heartbeat of another proxy, which does not expire.
+// heartbeatRow returns a heartbeat row of another proxy. The row does not expire.
 func heartbeatRow(t *testing.T, name string, incarnation int64) replica.Row {
 	t.Helper()
 	body := encode(t, &replica.Heartbeat{Address: "192.0.2.2:7946", BaseQuota: 0.25})
 	return replica.Row{Kind: replica.KindHeartbeat, Key: name, Writer: name, Epoch: incarnation, Sequence: 1, Body: body}
 }
 
-// lastHeartbeat lets time pass and returns the replica's latest heartbeat.
+// lastHeartbeat advances the time of a replica by span and returns its latest heartbeat.
 func lastHeartbeat(t *testing.T, store *replica.Store, span replica.Time) (latest replica.Heartbeat) {
 	t.Helper()
 	for now := replica.Time(0); now <= span; now += replica.Second / 10 {
