--- a/replica/rows_test.go
+++ b/replica/rows_test.go
@@ -24,6 +24,7 @@
 
 func (s lastWriteWins) receive(row Row)                           { s[row.Key] = row }
 func (s lastWriteWins) endpointRow(key string) (row Row, ok bool) { row, ok = s[key]; return row, ok }
+
 func (s lastWriteWins) digest() (digest uint64) {
 	for _, row := range s {
 		digest ^= rowID(&row) * (versionHash(&row) | 1)
