--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,8 +1,8 @@
 package balancer
 
-// AnswerStarted reports that the reply to a request has begun. From then on the request succeeds or fails with the
+// ReplyStarted reports that the reply to a request has begun. From then on the request succeeds or fails with the
 // attempt that delivers it.
-func (b *Balancer) AnswerStarted(now Time, index int) []Decision {
+func (b *Balancer) ReplyStarted(now Time, index int) []Decision {
 	b.begin(now)
 	if index < len(b.requests) && b.requests[index].live {
 		b.requests[index].streaming = true
--- a/balancer/scenario_events_test.go
+++ b/balancer/scenario_events_test.go
@@ -39,7 +39,7 @@
 		r.record(r.balancer.ClientGone(now, integer(args[0])))
 	},
 	"streaming": func(r *scenarioRunner, now balancer.Time, args []string) {
-		r.record(r.balancer.AnswerStarted(now, integer(args[0])))
+		r.record(r.balancer.ReplyStarted(now, integer(args[0])))
 	},
 	"wake":        func(r *scenarioRunner, now balancer.Time, _ []string) { r.record(r.balancer.TimerFired(now)) },
 	"list-failed": func(r *scenarioRunner, now balancer.Time, _ []string) { r.record(r.balancer.EndpointListFailed(now)) },
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -78,7 +78,7 @@
 	if m.err != nil || !ok {
 		return nil
 	}
-	return in.balancer.AnswerStarted(a.now, index)
+	return in.balancer.ReplyStarted(a.now, index)
 }
 
 // clientLeft ends a request whose client does not wait any longer. Its attempts may still be in flight.
