--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -41,7 +41,7 @@
 	if request.leadsFetch && endpoint.Origin {
 		b.completeFetch(request)
 	}
-	if a.Answered && request.live {
+	if a.Replied && request.live {
 		b.finish(a.Request)
 	}
 	if request.live {
--- a/balancer/scenario_events_test.go
+++ b/balancer/scenario_events_test.go
@@ -127,7 +127,7 @@
 		}
 		for request := requests.from; request <= requests.to; request++ {
 			r.record(r.balancer.AttemptFinished(now+latency, balancer.AttemptResult{
-				Request: request, Endpoint: r.lastSent[request].Endpoint, Latency: latency, Answered: true,
+				Request: request, Endpoint: r.lastSent[request].Endpoint, Latency: latency, Replied: true,
 			}))
 		}
 		now, r.decisions = now+milliseconds(options["every"]), nil
@@ -147,7 +147,7 @@
 		}
 		r.record(r.balancer.AttemptFinished(now, balancer.AttemptResult{
 			Request: request, Endpoint: endpoint, Outcome: outcome,
-			Latency: milliseconds(options["latency"]), Answered: options["answered"] != "",
+			Latency: milliseconds(options["latency"]), Replied: options["answered"] != "",
 		}))
 	}
 }
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -123,7 +123,7 @@
 	Request, Endpoint int // indices of the request and of the endpoint
 	Outcome           Outcome
 	Latency           Time // since the attempt was sent
-	Answered          bool // the request has its final reply, through this attempt or from earlier
+	Replied           bool // the request has its final reply, through this attempt or from earlier
 }
 
 // Action is the operation that a Decision requests from the caller.
--- a/internal/proxy/request_slot.go
+++ b/internal/proxy/request_slot.go
@@ -169,7 +169,7 @@
 	}
 	r.deliver(attempt, result)
 	answer := balancer.AttemptResult{
-		Request: attempt.slot, Endpoint: attempt.host, Outcome: result.outcome, Latency: now - attempt.sentAt, Answered: s.finished,
+		Request: attempt.slot, Endpoint: attempt.host, Outcome: result.outcome, Latency: now - attempt.sentAt, Replied: s.finished,
 	}
 	r.zoneAttemptFinished(attempt.host, result.outcome, answer.Latency)
 	wasEjected := r.balancer.IsEjected(attempt.host)
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -113,7 +113,7 @@
 		i--
 		s.finished[a.slot] = s.finished[a.slot] || a.outcome == balancer.Completed
 		answer := balancer.AttemptResult{
-			Request: a.slot, Endpoint: a.host, Outcome: a.outcome, Latency: now - a.sentAt, Answered: s.finished[a.slot],
+			Request: a.slot, Endpoint: a.host, Outcome: a.outcome, Latency: now - a.sentAt, Replied: s.finished[a.slot],
 		}
 		s.apply(now, s.router.decide(now, func(b *balancer.Balancer) []balancer.Decision {
 			return b.AttemptFinished(now, answer)
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -120,7 +120,7 @@
 	slot.inFlight--
 	slot.over = slot.over || requestOver
 	decisions := in.balancer.AttemptFinished(a.now, balancer.AttemptResult{
-		Request: index, Endpoint: node, Outcome: outcome, Latency: elapsed, Answered: requestOver,
+		Request: index, Endpoint: node, Outcome: outcome, Latency: elapsed, Replied: requestOver,
 	})
 	in.requests.releaseIfDone(index)
 	return decisions
