--- a/internal/gossip/agent.go
+++ b/internal/gossip/agent.go
@@ -13,19 +13,21 @@
 	"go.uber.org/zap"
 )
 
-// leaveTimeout bounds how long Close waits until queued broadcasts, the departure among them, have been sent.
+// leaveTimeout is the maximum time for which Close waits until the queued broadcasts have been sent. The departure of this
+// process is one of them.
 const leaveTimeout = 300 * time.Millisecond
 
-// storeTimeUnit is the unit of replica.Time.
+// storeTimeUnit is the duration of one unit of replica.Time.
 const storeTimeUnit = time.Second / time.Duration(replica.Second)
 
-// Handler receives what the agent learns from peers and tells it about this proxy's load. All methods are called from the
-// agent's event loop, which may be kept waiting; they must not wait for the agent in turn.
+// Handler handles changes that the agent receives from peers and returns the load of this proxy. All methods are called
+// from the agent's event loop. They may block the loop for a while, but must not wait for the agent, as that would
+// deadlock.
 type Handler interface {
-	// EndpointChanged reports an endpoint that the discovery service of a peer listed, changed or removed at that index of its
-	// list.
+	// EndpointChanged handles an endpoint that a peer's discovery service added, changed or removed in the version of the
+	// endpoint list with the given index.
 	EndpointChanged(index int64, endpoint wire.Endpoint)
-	// HealthReported reports that a peer found an endpoint unresponsive, or responsive again.
+	// HealthReported handles a peer's observation that an endpoint does not respond, or that it responds again.
 	HealthReported(endpoint string, responsive bool)
 	// QuotaShareChanged sets the fraction, 0 to 1, of the cluster-wide limits that this proxy may use.
 	QuotaShareChanged(fraction float64)
@@ -33,43 +35,46 @@
 	RequestCount() int64
 	// WriteRowCount returns the number of rows about written keys that were published since the start.
 	WriteRowCount() int64
-	// MembersUpdated reports all known proxies, some times a second, and whether this proxy still catches up with their state.
+	// MembersUpdated handles the list of all known proxies, and whether this proxy is still catching up with their state. It
+	// is called several times per second.
 	MembersUpdated(proxies []replica.Member, catchingUp bool)
-	// RowChanged reports a new or changed row of a kind that this package does not interpret. It is valid during the call.
+	// RowChanged handles a new or changed row of a kind that this package does not interpret. The row is valid only during
+	// the call.
 	RowChanged(row *replica.Row)
 }
 
-// Agent is the gossip agent of one proxy; see the package comment. It is made by Start.
+// Agent is the gossip agent of one proxy, as described in the package comment. Start returns a running agent.
 type Agent struct {
 	Counters
 
 	config  *Config
-	name    string // of this proxy
+	name    string // name of this proxy
 	handler Handler
 	logger  *zap.Logger
 	status  atomic.Pointer[Status]
 
-	// Used by the event loop alone.
+	// Used only by the event loop.
 	store     *replica.Store
-	startedAt time.Time // origin of the store's clock
+	startedAt time.Time // time zero of the store's clock
 	demand    rateMeter
 
 	mailbox     mailbox
 	members     *memberlist.Memberlist
-	memberCount atomic.Int64 // of memberlist's members, as of the latest join check
+	memberCount atomic.Int64 // number of memberlist's members at the latest join check
 	broadcasts  *broadcastQueues
 	sender      *sender
 	joiner      *joiner
 	prober      *prober
 
-	ctx        context.Context // ends with Close
+	ctx        context.Context // canceled by Close
 	cancel     context.CancelFunc
 	background sync.WaitGroup // the event loop, the sender's workers, join attempts and connect probes
 }
 
-// Start binds the listen address and starts the agent of the proxy of that name. Proxies is the configured number of
-// proxies in the cluster, this one included; healthReportTTL is how long a peer's report on an endpoint's health stays
-// valid; seed makes the choice of peers reproducible. The error is a single line that names the failed step.
+// Start binds the listen address and starts the agent of the proxy with the given name. The parameter proxies is the
+// configured number of proxies in the cluster, this one included. A health observation that this proxy publishes expires
+// after healthReportTTL. The seed makes the random choices of the replica reproducible. Start fails if an address is invalid
+// or can't be bound, or if memberlist can't be started; the error is a single line that names the failed step.
 func Start(
 	config *Config, name, zone string, proxies int, healthReportTTL replica.Time, seed uint64,
 	handler Handler, logger *zap.Logger,
@@ -109,7 +114,7 @@
 	return a, nil
 }
 
-// startBackground makes the parts that need the memberlist and starts the goroutines that Close waits for.
+// startBackground creates the parts that use memberlist and starts the goroutines that Close waits for.
 func (a *Agent) startBackground() {
 	a.sender = newSender(a.members, &a.Dropped)
 	a.joiner = &joiner{
@@ -131,14 +136,15 @@
 	a.background.Go(a.run)
 }
 
-// now returns the time on the store's clock.
+// now returns the current time on the store's clock.
 func (a *Agent) now() replica.Time {
 	return replica.Time(time.Since(a.startedAt) / storeTimeUnit)
 }
 
-// PublishEndpoints publishes endpoints of this proxy's discovery service at that index of its list: the complete list, or those
-// that changed. It waits for space in the mailbox. It does nothing if the peers file turns the exchange of endpoint
-// lists off.
+// PublishEndpoints publishes endpoints from this proxy's discovery service, which sent them with the given index of the
+// endpoint list. If complete is true, endpoints is the complete list, otherwise only the changed endpoints.
+// PublishEndpoints waits for space in the mailbox. It does nothing if the peers file disables the exchange of endpoint
+// lists.
 func (a *Agent) PublishEndpoints(index int64, complete bool, endpoints []wire.Endpoint) {
 	if !a.config.sharesEndpoints() {
 		return
@@ -147,29 +153,32 @@
 	a.mailbox.post(func() { a.apply(a.store.ApplyEndpointList(a.now(), complete, index, rows)) })
 }
 
-// PublishHealth publishes that this proxy found an endpoint unresponsive, or responsive again. It does not wait.
+// PublishHealth publishes this proxy's observation that an endpoint does not respond, or that it responds again. It does
+// not wait: if the mailbox is full, the call is dropped and counted.
 func (a *Agent) PublishHealth(endpoint string, responsive bool) {
 	a.mailbox.offer(func() { a.apply(a.store.RecordHealth(a.now(), endpoint, responsive)) })
 }
 
-// PublishOwnRow publishes a row that only this proxy writes, which expires after the time to live. It does not wait.
+// PublishOwnRow publishes a row that only this proxy writes and that expires after the time to live. It does not wait: if
+// the mailbox is full, the call is dropped and counted.
 func (a *Agent) PublishOwnRow(kind replica.Kind, key string, timeToLive replica.Time, body []byte) {
 	a.mailbox.offer(func() { a.apply(a.store.WriteOwn(a.now(), kind, key, timeToLive, body)) })
 }
 
-// PublishSharedRow publishes a row that every proxy may write. It does not wait.
+// PublishSharedRow publishes a row that every proxy may write. It does not wait: if the mailbox is full, the call is
+// dropped and counted.
 func (a *Agent) PublishSharedRow(row replica.Row) {
 	a.mailbox.offer(func() { a.apply(a.store.WriteShared(a.now(), row)) })
 }
 
-// SetReplaced sets whether a successor process of the same name takes over when this one closes, in which case Close does not
-// announce the departure of the proxy. It waits for space in the mailbox.
+// SetReplaced sets whether a successor process with the same name takes over when this process closes its agent. If so,
+// Close does not announce a departure of the proxy. SetReplaced waits for space in the mailbox.
 func (a *Agent) SetReplaced(replaced bool) {
 	a.mailbox.post(func() { a.store.SetYielded(replaced) })
 }
 
-// Close announces the departure of this process, closes the sockets, ends all goroutines and waits for them. Calls
-// after the first have no effect.
+// Close announces the end of this process to peers, closes the sockets, stops all goroutines and waits until they have
+// ended. Calls after the first have no effect.
 func (a *Agent) Close() {
 	announced := make(chan struct{})
 	a.mailbox.post(func() {
@@ -179,9 +188,9 @@
 	select {
 	case <-announced:
 	case <-a.ctx.Done():
-		return // closed before
+		return // already closed
 	}
-	_ = a.members.Leave(leaveTimeout) // peers that were not reached in time find out by failure detection
+	_ = a.members.Leave(leaveTimeout) // peers not reached before the timeout detect the departure by failure detection
 	if err := a.members.Shutdown(); err != nil {
 		a.logger.Warn("peers: memberlist shutdown failed", zap.Error(err))
 	}
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -1,22 +1,23 @@
-// Package gossip connects the replicated state of package replica with the other proxies of the cluster. Membership,
-// failure detection and the transport of messages are those of hashicorp/memberlist; which rows are sent to whom is
-// decided by replica.Store.
+// Package gossip replicates the state of package replica between the proxies of a cluster over UDP and TCP. The library
+// hashicorp/memberlist provides membership, failure detection and the transport of messages. The replica.Store decides
+// which rows are sent to which proxies.
 //
 // # Parts
 //
-// An Agent is the agent of one proxy. Its event loop is the only goroutine that uses the replica.Store: calls from
-// outside and messages from peers are put into a mailbox as functions and run there in the order in which they came.
-// What the instance decides is carried out by the loop as well:
+// An Agent is the gossip agent of one proxy. Its event loop is the only goroutine that uses the replica.Store. Method calls
+// and messages from peers are put into a mailbox as functions, which the event loop runs in the order of their arrival. The
+// event loop also carries out the decisions that the store returns:
 //
 //   - rows for all proxies go into the broadcast queues, from which memberlist piggybacks them on its gossip packets;
-//   - messages to one proxy are sent as a packet or, if they are long or have to arrive, on a TCP stream by a sender
-//     worker;
-//   - connect probes, which find out whether the process of a silent proxy has ended, run in goroutines of their own;
-//   - changed rows are handed to the Handler, the handler of the program that embeds this package.
+//   - a message to a single proxy is sent as a UDP packet or, if it is long or needs reliable delivery, by a sender worker
+//     on a TCP stream;
+//   - connect probes, which detect whether the process of a silent proxy has ended, run in separate goroutines;
+//   - changed rows are passed to the Handler, which the program that uses this package implements.
 //
 // # Concurrency
 //
-// Methods of Agent may be called from any goroutine, except that no method of the Handler may call Close, PublishEndpoints or
-// SetReplaced. Each method says whether it waits for space in the mailbox or drops the call. The methods of the Handler are
-// called from the event loop and must not wait for the Agent. Close ends all goroutines and waits for them.
+// The methods of Agent may be called from any goroutine, except that methods of the Handler must not call Close,
+// PublishEndpoints or SetReplaced. The documentation of each method says whether it waits for space in the mailbox or drops
+// the call. The methods of the Handler are called from the event loop and must not wait for the Agent. Close stops all
+// goroutines and waits until they have ended.
 package gossip
