--- a/internal/gossip/config.go
+++ b/internal/gossip/config.go
@@ -25,27 +25,30 @@
 	maxPort          = 65535
 )
 
-// Config is the content of the peers file. All addresses are IP addresses with a port; host names are not resolved.
+// Config is the content of the peers file. All addresses consist of an IP address and a port; host names are not resolved.
 type Config struct {
-	// Cluster is the name of the cluster, of 1 to 100 bytes. Packets and streams with another name are dropped.
+	// Cluster is the name of the cluster, 1 to 100 bytes long. Packets and streams with another name are dropped.
 	Cluster string `toml:"cluster"`
-	// Listen is the address that is bound for TCP and UDP.
+	// Listen is the address at which the agent listens for TCP and UDP.
 	Listen string `toml:"listen"`
 	// Advertise is the address at which peers reach this proxy. Default: Listen.
 	Advertise string `toml:"advertise"`
-	// Seeds are addresses of proxies through which the cluster is joined, at most 64.
+	// Seeds are the addresses of up to 64 proxies through which this proxy joins the cluster.
 	Seeds []string `toml:"seeds"`
-	// TakeoverDelaySeconds is the delay, in seconds, after which the quota of a departed proxy is taken over. 0.5 to 600, default 3.
+	// TakeoverDelaySeconds is the delay in seconds before other proxies take over the quota of a departed proxy. Range: 0.5
+	// to 600. Default: 3.
 	TakeoverDelaySeconds float64 `toml:"hold_s"`
-	// QuotaFloor is the fraction of an even quota share that other proxies never take over. 0.01 to 1, default 0.25.
+	// QuotaFloor is the fraction of a proxy's even quota share that other proxies never take over. Range: 0.01 to 1.
+	// Default: 0.25.
 	QuotaFloor float64 `toml:"floor"`
-	// ShareEndpoints tells whether endpoint lists are exchanged with peers, which requires that the discovery services of all
-	// proxies number the versions of the list alike. Default, nil: true.
+	// ShareEndpoints sets whether proxies exchange endpoint lists. If so, the discovery services of all proxies must number
+	// the versions of the list identically. Default: nil, which is equivalent to true.
 	ShareEndpoints *bool `toml:"list"`
 }
 
-// ReadConfig reads and validates the peers file. A listen address that is not empty overrides the one in the file, so that
-// all proxies can have the same file. The error is a single line that names the file and the key.
+// ReadConfig reads and validates the peers file. If listen is not empty, it overrides the listen address in the file, so
+// that all proxies can use the same file. The error is a single line that names the file and, if the file could be read,
+// the key.
 func ReadConfig(file, listen string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -67,7 +70,7 @@
 	return config, nil
 }
 
-// validate returns an error for the first key, in the order of the file's documentation, that is out of its range.
+// validate returns an error for the first invalid value. It checks the keys in the order of the fields of Config.
 func (c *Config) validate() error {
 	if c.Cluster == "" || len(c.Cluster) > maxClusterLength {
 		return errors.New("cluster: missing or too long")
@@ -102,8 +105,7 @@
 	return nil
 }
 
-// validateRange returns an error if the value is not in the range from lowest to highest, both included. NaN is in no
-// range.
+// validateRange returns an error if the value is less than lowest, greater than highest or NaN.
 func validateRange(key string, value, lowest, highest float64) error {
 	if value >= lowest && value <= highest {
 		return nil
@@ -111,7 +113,8 @@
 	return fmt.Errorf("%s: %v: not from %v to %v", key, value, lowest, highest)
 }
 
-// validateAddress returns an error that starts with the key if the address is not a port and a unicast IP address.
+// validateAddress returns an error that starts with the key unless the address consists of a unicast IP address and a
+// port.
 func validateAddress(key, address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -127,13 +130,14 @@
 	return nil
 }
 
-// isReachable tells whether an address received from a peer can be dialed.
+// isReachable reports whether an address received from a peer is valid, so that it can be dialed.
 func isReachable(address string) bool { return validateAddress("", address) == nil }
 
-// sharesEndpoints tells whether endpoint lists are exchanged with peers.
+// sharesEndpoints reports whether proxies exchange endpoint lists.
 func (c *Config) sharesEndpoints() bool { return c.ShareEndpoints == nil || *c.ShareEndpoints }
 
-// CheckListenAddress returns an error if the listen address can't be bound for TCP and UDP. Nothing stays bound.
+// CheckListenAddress returns an error if the listen address can't be bound for both TCP and UDP. It closes both sockets
+// before it returns.
 func (c *Config) CheckListenAddress() error {
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -141,7 +145,7 @@
 	}
 	conn, err := net.ListenPacket("udp", c.Listen)
 	if err != nil {
-		_ = listener.Close() // the error of the UDP socket is the one to report
+		_ = listener.Close() // only the error of the UDP socket is reported
 		return fmt.Errorf("peers: listen: %w", err)
 	}
 	return errors.Join(listener.Close(), conn.Close())
