--- a/internal/gossip/decisions.go
+++ b/internal/gossip/decisions.go
@@ -2,7 +2,7 @@
 
 import "woodproxy/replica"
 
-// apply carries out the store's decisions in their order. It is called from the event loop.
+// apply carries out the store's decisions in the given order. It must be called from the event loop.
 func (a *Agent) apply(decisions []replica.Decision) {
 	for i := range decisions {
 		a.applyDecision(&decisions[i])
@@ -29,8 +29,8 @@
 	}
 }
 
-// newMessage returns the message that a decision asks to send. It shares the decision's slices and has to be encoded
-// before the store is called again.
+// newMessage returns the message to be sent for a decision. The message shares the slices of the decision, so it must be
+// encoded before the next call of the store.
 func (a *Agent) newMessage(decision *replica.Decision) *message {
 	m := &message{
 		Sender:   a.name,
@@ -46,7 +46,8 @@
 	return m
 }
 
-// probe checks whether the process at a proxy's address has ended, and reports to the store if it has.
+// probe starts a connect probe of a proxy's address. If the connection is refused, the process has ended, and the store is
+// notified.
 func (a *Agent) probe(decision *replica.Decision) {
 	name, incarnation := decision.Peer, decision.Incarnation
 	a.prober.probe(a.ctx, decision.Address, func() {
@@ -54,10 +55,10 @@
 	})
 }
 
-// rowChanged hands a row that a peer wrote to the proxy.
+// rowChanged passes a row that a peer has changed to the handler.
 func (a *Agent) rowChanged(row *replica.Row) {
 	switch row.Kind {
-	case replica.KindHeartbeat, replica.KindDeparture: // of interest to the store alone
+	case replica.KindHeartbeat, replica.KindDeparture: // used only by the store
 	case replica.KindHealthObservation:
 		a.handler.HealthReported(row.Key, row.Rank == 0)
 	case replica.KindEndpoint:
@@ -79,7 +80,7 @@
 	a.handler.EndpointChanged(row.Epoch, endpoint)
 }
 
-// receive takes a message from a peer. It is called from the event loop.
+// receive passes a message from a peer to the store and carries out the decisions. It must be called from the event loop.
 func (a *Agent) receive(m *message) {
 	switch m.Type {
 	case replica.ActionGossip, replica.ActionSendRows:
@@ -96,7 +97,7 @@
 		a.apply(a.store.HandleBusy(a.now(), m.Sender))
 	case replica.ActionReplyInSync:
 		a.apply(a.store.HandleInSync(a.now(), m.Sender))
-	default: // of a later version, or a decision that is no message
+	default: // a message type of a later version, or an action that is not a message type
 		a.Faults.Add(1)
 	}
 }
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -2,16 +2,18 @@
 
 import "go.uber.org/zap"
 
-// malformedLogInterval is the number of malformed messages, and of other faults, from one log line to the next.
+// malformedLogInterval is the number of faults per log line. A malformed message is logged only if it is the first fault of
+// an interval; Counters.Faults also counts faults other than malformed messages.
 const malformedLogInterval = 1000
 
-// delegate implements memberlist.Delegate. Memberlist calls it from its own goroutines; no method waits.
+// delegate implements memberlist.Delegate. Memberlist calls its methods from other goroutines than the event loop; none of
+// them blocks.
 type delegate struct{ agent *Agent }
 
-// NodeMeta returns no metadata: what peers have to know of a proxy is in its heartbeat.
+// NodeMeta returns no metadata: the heartbeat of a proxy contains all information that peers need.
 func (d *delegate) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg decodes a message from a peer and passes it on to the event loop.
+// NotifyMsg decodes a message from a peer and enqueues it for the event loop. It counts and drops a malformed message.
 func (d *delegate) NotifyMsg(encoded []byte) {
 	a := d.agent
 	m, err := decodeMessage(encoded)
@@ -24,13 +26,14 @@
 	a.mailbox.offer(func() { a.receive(m) })
 }
 
-// GetBroadcasts returns messages for a gossip packet.
+// GetBroadcasts returns messages for a gossip packet. The sum of their lengths and of the overhead of each is at most limit
+// bytes.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.agent.broadcasts.take(overhead, limit)
 }
 
-// LocalState returns nothing: missed rows are found by the digests of package replica.
+// LocalState returns no state: package replica detects missed rows by comparing digests.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState ignores the state, which is empty.
+// MergeRemoteState ignores the state of a peer, which is always empty.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
--- a/internal/gossip/endpoints.go
+++ b/internal/gossip/endpoints.go
@@ -12,10 +12,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// errInvalidEndpoint tells that the body of an endpoint row contradicts itself or the row.
+// errInvalidEndpoint is the error for an endpoint row whose body has another name than the row, or a ready endpoint without
+// an address.
 var errInvalidEndpoint = errors.New("invalid endpoint row")
 
-// endpointRows returns the rows for endpoints of this proxy's discovery service, without those that can't be encoded.
+// endpointRows returns rows for endpoints from this proxy's discovery service. It counts and omits endpoints that can't be
+// encoded.
 func (a *Agent) endpointRows(endpoints []wire.Endpoint) []replica.Row {
 	rows := make([]replica.Row, 0, len(endpoints))
 	for i := range endpoints {
@@ -37,7 +39,8 @@
 	return replica.Row{Key: endpoint.Name, Rank: endpointRank(endpoint), Sequence: endpoint.StartedAtUnixMilli, Body: body}, nil
 }
 
-// endpointRank returns how strictly an endpoint is excluded; of two rows at the same index the stricter one wins.
+// endpointRank returns the rank of an endpoint's row. It is higher the more strictly the endpoint is excluded from requests:
+// of two rows with the same index of the endpoint list, the one with the higher rank wins.
 func endpointRank(endpoint *wire.Endpoint) uint8 {
 	switch {
 	case endpoint.Ready:
@@ -49,7 +52,7 @@
 	}
 }
 
-// decodeEndpoint returns the endpoint of a row. A row without a body is of an endpoint that a complete list lacked.
+// decodeEndpoint returns the endpoint of a row. A row has no body if the endpoint was absent from a complete endpoint list.
 func decodeEndpoint(row *replica.Row) (wire.Endpoint, error) {
 	endpoint := wire.Endpoint{Name: row.Key}
 	if len(row.Body) > 0 {
