--- a/internal/gossip/eventloop.go
+++ b/internal/gossip/eventloop.go
@@ -7,26 +7,27 @@
 
 const (
 	tickInterval    = 100 * time.Millisecond
-	stallThreshold  = 10 * tickInterval
-	mailboxCapacity = 1024
+	stallThreshold  = 10 * tickInterval // time without a tick after which the process is treated as suspended
+	mailboxCapacity = 1024              // calls
 
-	// Intervals in iterations of the event loop, which are ticks or, under load, calls from the mailbox as well.
+	// Intervals in iterations of the event loop. An iteration handles either a tick or a call from the mailbox. Periodic
+	// work is done at the ticks whose iteration number is a multiple of the interval.
 	statusInterval  = 5
 	membersInterval = 2
 )
 
-// mailbox passes function calls to the event loop.
+// mailbox is the queue of functions that the event loop calls. It is safe for concurrent use.
 type mailbox struct {
 	calls   chan func()
 	closed  <-chan struct{}
-	dropped *atomic.Int64
+	dropped *atomic.Int64 // number of dropped calls and messages
 }
 
 func newMailbox(closed <-chan struct{}, dropped *atomic.Int64) mailbox {
 	return mailbox{calls: make(chan func(), mailboxCapacity), closed: closed, dropped: dropped}
 }
 
-// post enqueues a call that must not be lost. It waits for space.
+// post enqueues a call that must not be dropped. It waits for space in the mailbox or until the agent is closed.
 func (m *mailbox) post(call func()) {
 	select {
 	case m.calls <- call:
@@ -34,7 +35,7 @@
 	}
 }
 
-// offer enqueues a call, or drops and counts it if there is no space.
+// offer enqueues a call without waiting. If the mailbox is full, it drops the call and counts it.
 func (m *mailbox) offer(call func()) {
 	select {
 	case m.calls <- call:
@@ -43,7 +44,7 @@
 	}
 }
 
-// run is the event loop.
+// run is the event loop. It returns when the agent's context is canceled.
 func (a *Agent) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -54,7 +55,8 @@
 			return
 		case call := <-a.mailbox.calls:
 			if time.Since(lastTick) > stallThreshold {
-				// The process was suspended: the store has to know before it takes what arrived meanwhile.
+				// The process was suspended. The store must detect this by a tick before it handles messages that arrived in
+				// the meantime.
 				lastTick = time.Now()
 				a.apply(a.store.Tick(a.now()))
 			}
@@ -66,7 +68,7 @@
 	}
 }
 
-// tick does the periodic work.
+// tick performs the periodic work of the event loop.
 func (a *Agent) tick(iteration int) {
 	a.reportLoad()
 	a.apply(a.store.Tick(a.now()))
@@ -81,7 +83,7 @@
 	}
 }
 
-// reportLoad passes this proxy's load on to the store, from where peers get it.
+// reportLoad passes this proxy's load to the store, which reports it to peers in its heartbeats.
 func (a *Agent) reportLoad() {
 	if elapsed := time.Since(a.demand.sampledAt); elapsed >= demandSampleInterval {
 		a.store.SetDemand(a.demand.sample(a.handler.RequestCount(), elapsed))
--- a/internal/gossip/prober.go
+++ b/internal/gossip/prober.go
@@ -12,20 +12,20 @@
 
 const (
 	connectProbeTimeout = 300 * time.Millisecond
-	maxConnectProbes    = 8 // at one time
+	maxConnectProbes    = 8 // maximum number of concurrent probes
 )
 
-// prober finds out whether anything listens at an address where a proxy was reached before.
+// prober detects whether the process of a silent proxy has ended, by connecting to the address of the proxy.
 type prober struct {
-	source     net.IP
-	started    *atomic.Int64 // counts probes
-	running    atomic.Int64
+	source     net.IP        // local address of the connections
+	started    *atomic.Int64 // number of probes since the start
+	running    atomic.Int64  // number of probes that have not ended
 	background *sync.WaitGroup
 }
 
-// probe connects to the address and calls refused, in another goroutine, if the connection is refused: the process
-// has ended. Any other failure tells nothing, as the network may be at fault. A probe beyond maxConnectProbes is left
-// out. The method itself is called from the event loop.
+// probe connects to the address in a separate goroutine. If the connection is refused, the process has ended, and that
+// goroutine calls refused. Other failures are ignored, as the network may have caused them. If the address is invalid or
+// maxConnectProbes probes are running, probe does nothing. It is called from the event loop.
 func (p *prober) probe(ctx context.Context, address string, refused func()) {
 	if !isReachable(address) || p.running.Load() >= maxConnectProbes {
 		return
@@ -37,7 +37,7 @@
 		dialer := net.Dialer{Timeout: connectProbeTimeout, LocalAddr: &net.TCPAddr{IP: p.source}}
 		conn, err := dialer.DialContext(ctx, "tcp", address)
 		if err == nil {
-			_ = conn.Close() // nothing was written that a failure could lose
+			_ = conn.Close() // nothing was written, so no data can be lost
 			return
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
