--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -8,20 +8,21 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Multipliers of the number of times that memberlist sends a broadcast, which grows with the logarithm of the cluster.
+// Multipliers for the number of times that memberlist sends each broadcast, which also grows with the logarithm of the
+// number of members.
 const (
 	rowRetransmits       = 3
-	heartbeatRetransmits = 2 // the next heartbeat makes up for one that was lost
+	heartbeatRetransmits = 2 // lower than for rows, as the next heartbeat replaces a lost one
 )
 
-// broadcastQueues hold rows for all proxies until memberlist has sent them often enough. Heartbeats have a queue of
-// their own, which is served last, so that they never delay other rows. Safe for concurrent use.
+// broadcastQueues holds rows to be sent to all proxies until memberlist has sent each of them the required number of times.
+// Heartbeats have a separate queue with lower priority, so that they never delay other rows. It is safe for concurrent use.
 type broadcastQueues struct {
 	rows       *memberlist.TransmitLimitedQueue
 	heartbeats *memberlist.TransmitLimitedQueue
 }
 
-// newBroadcastQueues makes empty queues for a cluster with the number of members that the function returns.
+// newBroadcastQueues returns empty queues for a cluster whose current number of members memberCount returns.
 func newBroadcastQueues(memberCount func() int) *broadcastQueues {
 	return &broadcastQueues{
 		rows:       &memberlist.TransmitLimitedQueue{NumNodes: memberCount, RetransmitMult: rowRetransmits},
@@ -29,7 +30,7 @@
 	}
 }
 
-// add enqueues the message with a row, in place of a queued one with an older version of that row.
+// add enqueues an encoded message that contains the row. It replaces a queued message with an earlier version of that row.
 func (q *broadcastQueues) add(row *replica.Row, encoded []byte) {
 	queue := q.rows
 	if isHeartbeat(row.Kind) {
@@ -41,12 +42,12 @@
 	})
 }
 
-// isHeartbeat tells whether rows of a kind are written anew all the time.
+// isHeartbeat reports whether rows of a kind are heartbeats, which are rewritten periodically.
 func isHeartbeat(kind replica.Kind) bool {
 	return kind == replica.KindHeartbeat || kind == replica.KindWatchHeartbeat
 }
 
-// take returns messages to send now, whose lengths and overheads add up to at most limit bytes.
+// take returns queued messages to send now. The sum of their lengths and of the overhead of each is at most limit bytes.
 func (q *broadcastQueues) take(overhead, limit int) [][]byte {
 	messages := q.rows.GetBroadcasts(overhead, limit)
 	for _, encoded := range messages {
@@ -55,22 +56,22 @@
 	return append(messages, q.heartbeats.GetBroadcasts(overhead, limit)...)
 }
 
-// rowBroadcast is a queued row. It implements memberlist.NamedBroadcast.
+// rowBroadcast is a queued message with one row. It implements memberlist.NamedBroadcast.
 type rowBroadcast struct {
-	name    string // kind, key and writer
+	name    string // kind, key and writer of the row
 	encoded []byte
 }
 
-// Name identifies the row, whatever its version.
+// Name returns the identity of the row, which is the same for all its versions.
 func (b *rowBroadcast) Name() string { return b.name }
 
 // Message returns the message to send.
 func (b *rowBroadcast) Message() []byte { return b.encoded }
 
-// Finished is called when the row has been sent often enough or was replaced.
+// Finished does nothing. Memberlist calls it when the message has been sent the required number of times or was replaced.
 func (b *rowBroadcast) Finished() {}
 
-// Invalidates tells whether this row replaces another one in the queue.
+// Invalidates reports whether other is a queued message with the same row, which this message replaces.
 func (b *rowBroadcast) Invalidates(other memberlist.Broadcast) bool {
 	row, isRow := other.(*rowBroadcast)
 	return isRow && row.name == b.name
--- a/internal/gossip/librarylog.go
+++ b/internal/gossip/librarylog.go
@@ -8,18 +8,20 @@
 	"go.uber.org/zap"
 )
 
-// libraryLogInterval is the shortest time between two log lines of memberlist's errors: a peer can cause many.
+// libraryLogInterval is the minimum time between two logged errors or warnings of memberlist. It limits log volume, as a
+// single peer can cause many errors.
 const libraryLogInterval = 20 * time.Second
 
-// libraryLog is the output of memberlist's logger. It counts errors and warnings, logs one of them now and then, and
-// drops all other lines. The logger serializes the calls of Write.
+// libraryLog is the writer to which memberlist's logger writes. It counts errors and warnings, logs at most one of them
+// per libraryLogInterval, and drops all other lines. It is not safe for concurrent use; log.Logger serializes the calls of
+// Write.
 type libraryLog struct {
 	logger     *zap.Logger
-	faults     *atomic.Int64
+	faults     *atomic.Int64 // Counters.Faults
 	lastLogged time.Time
 }
 
-// Write takes one line. It never fails.
+// Write handles one line of the log. It never fails.
 func (l *libraryLog) Write(line []byte) (int, error) {
 	text := bytes.TrimSpace(line)
 	if !bytes.HasPrefix(text, []byte("[ERR]")) && !bytes.HasPrefix(text, []byte("[WARN]")) {
--- a/internal/gossip/memberlist.go
+++ b/internal/gossip/memberlist.go
@@ -30,13 +30,13 @@
 	return socketAddress{host, port}, nil
 }
 
-// listenIP returns the IP address that the configuration, which has to be valid, listens at.
+// listenIP returns the IP address of the listen address in a valid configuration.
 func listenIP(config *Config) net.IP {
-	host, _, _ := net.SplitHostPort(config.Listen) // was parsed before
+	host, _, _ := net.SplitHostPort(config.Listen) // can't fail: the configuration is valid
 	return net.ParseIP(host)
 }
 
-// createMemberlist binds the listen address and starts memberlist under that node name. The caller shuts it down.
+// createMemberlist binds the listen address and starts memberlist with the given node name. The caller must shut it down.
 func createMemberlist(
 	config *Config, node string, callbacks memberlist.Delegate, logger *zap.Logger, counters *Counters,
 ) (*memberlist.Memberlist, error) {
@@ -67,14 +67,14 @@
 	options.Delegate = callbacks
 	members, err := memberlist.Create(options)
 	if err != nil {
-		_ = options.Transport.Shutdown() // the error above is the one to report
+		_ = options.Transport.Shutdown() // only the error of memberlist.Create is reported
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	return members, nil
 }
 
-// memberlistOptions returns the options that are the same for all proxies: faster than the defaults for a local
-// network, as quotas follow the membership.
+// memberlistOptions returns the options that are the same for all proxies. Intervals and timeouts are shorter than
+// memberlist's defaults for a local network, because quotas depend on the membership.
 func memberlistOptions() *memberlist.Config {
 	options := memberlist.DefaultLANConfig()
 	options.GossipInterval = 100 * time.Millisecond
@@ -87,27 +87,27 @@
 	options.PushPullInterval = 15 * time.Second
 	options.RetransmitMult = 3
 	options.EnableCompression = false
-	options.UDPBufferSize = 1400 // bytes, to fit into an Ethernet frame
+	options.UDPBufferSize = 1400 // bytes; a packet of this size fits into one Ethernet frame
 	options.HandoffQueueDepth = 1024
 	return options
 }
 
-// nodeName returns the name of a process of a proxy in memberlist. The incarnation makes it differ from its
-// predecessors'.
+// nodeName returns the name under which a proxy process is a node of memberlist. The incarnation distinguishes the process
+// from its predecessors.
 func nodeName(proxy string, incarnation int64) string {
 	return fmt.Sprintf("%s/%d", proxy, incarnation)
 }
 
-// latestNode returns the node of a proxy's latest process, or nil.
+// latestNode returns the node with the highest incarnation of a proxy, or nil if no node belongs to the proxy.
 func latestNode(nodes []*memberlist.Node, proxy string) *memberlist.Node {
 	var latest *memberlist.Node
 	var latestIncarnation string
 	for _, node := range nodes {
-		separator := strings.LastIndexByte(node.Name, '/') // the last one: the name of a proxy may contain others
+		separator := strings.LastIndexByte(node.Name, '/') // the last one, as the name of a proxy may contain slashes
 		if separator < 0 || node.Name[:separator] != proxy {
 			continue
 		}
-		// Incarnations are compared as text: in milliseconds since 1970 they have the same number of digits.
+		// Incarnations are Unix times in milliseconds. They can be compared as text, as all have the same number of digits.
 		if incarnation := node.Name[separator:]; latest == nil || incarnation > latestIncarnation {
 			latest, latestIncarnation = node, incarnation
 		}
--- a/internal/gossip/sender.go
+++ b/internal/gossip/sender.go
@@ -11,27 +11,28 @@
 	senderWorkers       = 4
 	senderQueueCapacity = 64 // messages
 
-	// maxPacketMessage is the length in bytes from which a message goes on a stream: packets must fit into an Ethernet
-	// frame.
+	// maxPacketMessage is the length in bytes from which a message is always sent on a stream. Shorter messages fit into
+	// a packet of one Ethernet frame.
 	maxPacketMessage = 1200
 )
 
-// delivery tells how a message to one proxy is sent.
+// delivery is the delivery guarantee of a message to a single proxy.
 type delivery int
 
 const (
-	bestEffort delivery = iota // as a packet, if it fits into one
-	reliable                   // on a TCP stream
+	bestEffort delivery = iota // sent as a UDP packet if it fits into one, otherwise on a TCP stream
+	reliable                   // sent on a TCP stream
 )
 
-// sender sends messages to single proxies: packets at once, streams by workers, as they may wait for the peer.
+// sender sends messages to single proxies. It sends packets immediately. Workers send messages on streams, as this may block
+// until the peer responds.
 type sender struct {
 	members *memberlist.Memberlist
-	dropped *atomic.Int64 // counts messages that could not be sent
+	dropped *atomic.Int64 // number of messages that could not be sent
 	queue   chan streamMessage
 }
 
-// streamMessage is an encoded message that waits for a worker.
+// streamMessage is an encoded message that is queued for a worker.
 type streamMessage struct {
 	to      *memberlist.Node
 	encoded []byte
@@ -41,8 +42,8 @@
 	return &sender{members: members, dropped: dropped, queue: make(chan streamMessage, senderQueueCapacity)}
 }
 
-// send sends a message to the latest process of a proxy, or drops it if none is a member or the queue is full. It
-// does not wait.
+// send sends a message to the latest process of a proxy without waiting. It drops the message if no process of that proxy is
+// a member. If the packet can't be sent or the queue for streams is full, it also counts the dropped message.
 func (s *sender) send(proxy string, m *message, how delivery) {
 	node := latestNode(s.members.Members(), proxy)
 	if node == nil {
@@ -62,7 +63,7 @@
 	}
 }
 
-// run is a worker. It sends messages on streams until the context ends.
+// run is the loop of a worker. It sends queued messages on streams until the context is canceled.
 func (s *sender) run(ctx context.Context) {
 	for {
 		select {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -13,18 +13,18 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits on what peers may send.
+// Limits on the traffic from peers.
 const (
-	maxIncomingStreams  = 32
-	maxStreamLength     = 4 << 20 // bytes read from one connection
-	maxPacketsPerSecond = 4000    // also the burst
+	maxIncomingStreams  = 32      // maximum number of concurrent incoming connections
+	maxStreamLength     = 4 << 20 // maximum number of bytes read from one connection
+	maxPacketsPerSecond = 4000    // also the burst size
 )
 
-// errStreamTooLong is returned by reads from a connection after maxStreamLength bytes.
+// errStreamTooLong is the error of reads from a connection from which maxStreamLength bytes have been read.
 var errStreamTooLong = errors.New("stream exceeds the limit on its length")
 
-// transport is memberlist's transport with limits on incoming traffic, with counters, and with the listen address as
-// the source of outgoing connections. Shutdown ends its goroutine and all outgoing connections.
+// transport wraps memberlist's transport. It limits incoming traffic, counts traffic, and uses the listen address as the
+// source address of outgoing connections. Shutdown stops its goroutine and closes all outgoing connections.
 type transport struct {
 	*memberlist.NetTransport
 	source   net.IP
@@ -32,9 +32,9 @@
 
 	packets     chan *memberlist.Packet
 	streams     chan net.Conn
-	openStreams atomic.Int64 // incoming ones
+	openStreams atomic.Int64 // number of open incoming connections
 
-	ctx       context.Context // ends with Shutdown
+	ctx       context.Context // canceled by Shutdown
 	cancel    context.CancelFunc
 	forwarder sync.WaitGroup
 }
@@ -54,7 +54,7 @@
 	return t
 }
 
-// forward passes incoming packets and streams on to memberlist, within the limits, until Shutdown.
+// forward passes incoming packets and streams to memberlist until Shutdown. It drops those that exceed the limits.
 func (t *transport) forward() {
 	limiter := rate.NewLimiter(maxPacketsPerSecond, maxPacketsPerSecond)
 	for {
@@ -86,7 +86,7 @@
 	if t.openStreams.Add(1) > maxIncomingStreams {
 		t.openStreams.Add(-1)
 		t.counters.Dropped.Add(1)
-		_ = conn.Close() // nothing was written that a failure could lose
+		_ = conn.Close() // nothing was written, so no data can be lost
 		return
 	}
 	t.counters.StreamsAccepted.Add(1)
@@ -94,42 +94,48 @@
 	select {
 	case t.streams <- newStream(conn, t.counters, release):
 	case <-t.ctx.Done():
-		_ = conn.Close() // as above
+		_ = conn.Close() // same here
 	}
 }
 
-// PacketCh and the methods up to DialAddressTimeout are those of memberlist.NodeAwareTransport.
+// PacketCh returns the channel of incoming packets within the limits. PacketCh and the following methods up to
+// DialAddressTimeout implement memberlist.NodeAwareTransport.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
+// StreamCh returns the channel of incoming streams within the limits.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
+// WriteTo sends a packet to the address and counts its bytes.
 func (t *transport) WriteTo(packet []byte, address string) (time.Time, error) {
 	t.counters.BytesOut.Add(int64(len(packet)))
 	return t.NetTransport.WriteTo(packet, address)
 }
 
+// WriteToAddress is WriteTo for the address of a node.
 func (t *transport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
 	return t.WriteTo(packet, address.Addr)
 }
 
+// DialTimeout connects to the address within the timeout. Shutdown closes the connection.
 func (t *transport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.source}}
 	conn, err := dialer.DialContext(t.ctx, "tcp", address)
 	if err != nil {
-		return nil, err // not wrapped: memberlist looks at the type of the error, without errors.As
+		return nil, err // not wrapped: memberlist uses a type assertion on the error, not errors.As
 	}
 	stopWatching := context.AfterFunc(t.ctx, func() {
-		_ = conn.Close() // unblocks reads and writes; what was not sent is lost with the process
+		_ = conn.Close() // unblocks reads and writes; unsent data is lost when the process ends
 	})
 	return newStream(conn, t.counters, func() { stopWatching() }), nil
 }
 
+// DialAddressTimeout is DialTimeout for the address of a node.
 func (t *transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(address.Addr, timeout)
 }
 
-// Shutdown closes the sockets and all outgoing connections, and waits for the goroutine of the transport. It may be
-// called more than once.
+// Shutdown closes the sockets and all outgoing connections, and waits until the goroutine of the transport has ended. It
+// may be called more than once.
 func (t *transport) Shutdown() error {
 	err := t.NetTransport.Shutdown()
 	t.cancel()
@@ -140,13 +146,13 @@
 	return nil
 }
 
-// stream is a connection that counts its bytes and limits how many are read.
+// stream is a connection that counts the bytes read and written, and limits the number of bytes read to maxStreamLength.
 type stream struct {
 	net.Conn
 	counters    *Counters
-	unreadBytes int       // that may still be read
+	unreadBytes int       // number of bytes that may still be read
 	release     func()    // called once, when the stream is closed
-	releaseOnce sync.Once // memberlist may close a connection twice
+	releaseOnce sync.Once // needed because memberlist may close a connection twice
 }
 
 func newStream(conn net.Conn, counters *Counters, release func()) *stream {
