--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -11,42 +11,43 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Bounds of a message. Longer lists are malformed; replica keeps its messages below them.
+// Protocol version and upper bounds of a message. A message that exceeds a bound is malformed. Package replica keeps the
+// messages that it sends within the bounds.
 const (
 	protocolVersion  = 1
 	maxMessageLength = 1 << 20 // bytes
 	maxRows          = 256
-	maxRowIDs        = 16384 // of row versions as well
+	maxRowIDs        = 16384 // also the maximum number of row versions
 )
 
 // errMalformedMessage is wrapped by every error of decodeMessage.
 var errMalformedMessage = errors.New("malformed message")
 
-// message is what one proxy sends to others, as a msgpack map. Unknown fields are ignored, so that later versions can
-// add some. Which fields are used follows from the type.
+// message is a message between proxies. It is encoded as a msgpack map. Receivers ignore unknown fields, so that later
+// versions can add fields. The type determines which fields are used.
 type message struct {
 	Version  int                  `msgpack:"v"`
-	Sender   string               `msgpack:"f"` // name of the proxy
+	Sender   string               `msgpack:"f"` // name of the sending proxy
 	Type     replica.Action       `msgpack:"t"`
 	Rows     []replica.Row        `msgpack:"r,omitempty"`
-	Versions []replica.RowVersion `msgpack:"h,omitempty"` // of the rows in the buckets of Buckets
-	RowIDs   []uint64             `msgpack:"i,omitempty"` // of the rows that are requested
-	Buckets  uint64               `msgpack:"w,omitempty"` // a bit for each bucket
-	Digests  []uint64             `msgpack:"s,omitempty"` // none, or one for each bucket
+	Versions []replica.RowVersion `msgpack:"h,omitempty"` // versions of the rows in the selected buckets
+	RowIDs   []uint64             `msgpack:"i,omitempty"` // IDs of the requested rows
+	Buckets  uint64               `msgpack:"w,omitempty"` // bit mask of the selected buckets
+	Digests  []uint64             `msgpack:"s,omitempty"` // empty, or one digest per bucket
 }
 
-// encode sets the version and returns the message as msgpack.
+// encode sets the version to protocolVersion and returns the message encoded as msgpack.
 func (m *message) encode() []byte {
 	m.Version = protocolVersion
 	encoded, err := msgpack.Marshal(m)
 	if err != nil {
-		panic(fmt.Sprintf("encoding a gossip message: %v", err)) // impossible: all fields are plain values
+		panic(fmt.Sprintf("encoding a gossip message: %v", err)) // can't happen: msgpack can encode all types of the fields
 	}
 	return encoded
 }
 
-// decodeMessage returns the message or an error that wraps errMalformedMessage, never a part of a message. What it
-// allocates is bounded by the bytes that are there and not by the lengths that they claim.
+// decodeMessage returns the decoded message, or an error that wraps errMalformedMessage. It never returns a partial message.
+// Its allocations are bounded by the number of received bytes, not by the list lengths that the message declares.
 func decodeMessage(encoded []byte) (*message, error) {
 	if len(encoded) > maxMessageLength {
 		return nil, fmt.Errorf("%w: %d bytes", errMalformedMessage, len(encoded))
