--- a/internal/gossip/config.go
+++ b/internal/gossip/config.go
@@ -12,13 +12,13 @@
 
 // Defaults and bounds of the peers file.
 const (
-	defaultHoldSeconds = 3
-	minHoldSeconds     = 0.5
-	maxHoldSeconds     = 600
+	defaultTakeoverDelaySeconds = 3
+	minTakeoverDelaySeconds     = 0.5
+	maxTakeoverDelaySeconds     = 600
 
-	defaultFloor = 0.25
-	minFloor     = 0.01
-	maxFloor     = 1
+	defaultQuotaFloor = 0.25
+	minQuotaFloor     = 0.01
+	maxQuotaFloor     = 1
 
 	maxClusterLength = 100 // bytes
 	maxSeeds         = 64
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	config := &Config{TakeoverDelaySeconds: defaultHoldSeconds, QuotaFloor: defaultFloor}
+	config := &Config{TakeoverDelaySeconds: defaultTakeoverDelaySeconds, QuotaFloor: defaultQuotaFloor}
 	if err := configfile.DecodeTOML(text, config); err != nil {
 		return nil, fmt.Errorf("peers: %s: %w", file, err)
 	}
@@ -78,10 +78,10 @@
 	if err := c.validateAddresses(); err != nil {
 		return err
 	}
-	if err := validateRange("hold_s", c.TakeoverDelaySeconds, minHoldSeconds, maxHoldSeconds); err != nil {
+	if err := validateRange("hold_s", c.TakeoverDelaySeconds, minTakeoverDelaySeconds, maxTakeoverDelaySeconds); err != nil {
 		return err
 	}
-	return validateRange("floor", c.QuotaFloor, minFloor, maxFloor)
+	return validateRange("floor", c.QuotaFloor, minQuotaFloor, maxQuotaFloor)
 }
 
 func (c *Config) validateAddresses() error {
