--- a/internal/gossip/sender.go
+++ b/internal/gossip/sender.go
@@ -11,9 +11,9 @@
 	senderWorkers       = 4
 	senderQueueCapacity = 64 // messages
 
-	// maxPacketMessage is the length in bytes from which a message is always sent on a stream. Shorter messages fit into
+	// minStreamMessageLength is the length in bytes from which a message is always sent on a stream. Shorter messages fit into
 	// a packet of one Ethernet frame.
-	maxPacketMessage = 1200
+	minStreamMessageLength = 1200
 )
 
 // delivery is the delivery guarantee of a message to a single proxy.
@@ -50,7 +50,7 @@
 		return
 	}
 	encoded := m.encode()
-	if how == bestEffort && len(encoded) < maxPacketMessage {
+	if how == bestEffort && len(encoded) < minStreamMessageLength {
 		if err := s.members.SendBestEffort(node, encoded); err != nil {
 			s.dropped.Add(1)
 		}
