--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -150,21 +150,21 @@
 type stream struct {
 	net.Conn
 	counters    *Counters
-	unreadBytes int       // number of bytes that may still be read
+	remainingBytes int       // number of bytes that may still be read
 	release     func()    // called once, when the stream is closed
 	releaseOnce sync.Once // needed because memberlist may close a connection twice
 }
 
 func newStream(conn net.Conn, counters *Counters, release func()) *stream {
-	return &stream{Conn: conn, counters: counters, unreadBytes: maxStreamLength, release: release}
+	return &stream{Conn: conn, counters: counters, remainingBytes: maxStreamLength, release: release}
 }
 
 func (s *stream) Read(buffer []byte) (int, error) {
-	if s.unreadBytes <= 0 {
+	if s.remainingBytes <= 0 {
 		return 0, errStreamTooLong
 	}
-	n, err := s.Conn.Read(buffer[:min(len(buffer), s.unreadBytes)])
-	s.unreadBytes -= n
+	n, err := s.Conn.Read(buffer[:min(len(buffer), s.remainingBytes)])
+	s.remainingBytes -= n
 	s.counters.BytesIn.Add(int64(n))
 	return n, err
 }
