--- a/internal/gossip/agent.go
+++ b/internal/gossip/agent.go
@@ -76,7 +76,7 @@
 // after healthReportTTL. The seed makes the random choices of the replica reproducible. Start fails if an address is invalid
 // or can't be bound, or if memberlist can't be started; the error is a single line that names the failed step.
 func Start(
-	config *Config, name, zone string, proxies int, healthReportTTL replica.Time, seed uint64,
+	config *Config, name, zone string, proxies int, observationTTL replica.Time, seed uint64,
 	handler Handler, logger *zap.Logger,
 ) (*Agent, error) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -100,7 +100,7 @@
 		Zone:           zone,
 		TakeoverDelay:  replica.Time(config.TakeoverDelaySeconds * float64(replica.Second)),
 		QuotaFloor:     config.QuotaFloor,
-		ObservationTTL: healthReportTTL,
+		ObservationTTL: observationTTL,
 	}, seed)
 	a.mailbox = newMailbox(ctx.Done(), &a.Dropped)
 	a.broadcasts = newBroadcastQueues(func() int { return int(a.memberCount.Load()) })
