--- a/internal/gossip/agent.go
+++ b/internal/gossip/agent.go
@@ -73,7 +73,7 @@
 
 // Start binds the listen address and starts the agent of the proxy with the given name. The parameter proxies is the
 // configured number of proxies in the cluster, this one included. A health observation that this proxy publishes expires
-// after healthReportTTL. The seed makes the random choices of the replica reproducible. Start fails if an address is invalid
+// after observationTTL. The seed makes the random choices of the replica reproducible. Start fails if an address is invalid
 // or can't be bound, or if memberlist can't be started; the error is a single line that names the failed step.
 func Start(
 	config *Config, name, zone string, proxies int, observationTTL replica.Time, seed uint64,
--- a/internal/gossip/sender.go
+++ b/internal/gossip/sender.go
@@ -42,8 +42,8 @@
 	return &sender{members: members, dropped: dropped, queue: make(chan streamMessage, senderQueueCapacity)}
 }
 
-// send sends a message to the latest process of a proxy without waiting. It drops the message if no process of that proxy is
-// a member. If the packet can't be sent or the queue for streams is full, it also counts the dropped message.
+// send sends a message to the latest process of a proxy without waiting. It ignores the message if no process of that proxy
+// is a member. It drops and counts the message if the packet can't be sent or the queue for streams is full.
 func (s *sender) send(proxy string, m *message, how delivery) {
 	node := latestNode(s.members.Members(), proxy)
 	if node == nil {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -149,10 +149,10 @@
 // stream is a connection that counts the bytes read and written, and limits the number of bytes read to maxStreamLength.
 type stream struct {
 	net.Conn
-	counters    *Counters
+	counters       *Counters
 	remainingBytes int       // number of bytes that may still be read
-	release     func()    // called once, when the stream is closed
-	releaseOnce sync.Once // needed because memberlist may close a connection twice
+	release        func()    // called once, when the stream is closed
+	releaseOnce    sync.Once // needed because memberlist may close a connection twice
 }
 
 func newStream(conn net.Conn, counters *Counters, release func()) *stream {
