--- a/internal/gossip/config_golden_test.go
+++ b/internal/gossip/config_golden_test.go
@@ -13,7 +13,7 @@
 	"woodproxy/internal/goldentest"
 )
 
-// readPeers reads a peers file with the given text. The text of errors does not depend on the directory.
+// readPeers reads a peers file with the given text. The text of a returned error does not contain the temporary directory.
 func readPeers(t *testing.T, text, listen string) (*Config, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -28,7 +28,7 @@
 	return config, nil
 }
 
-// describePeers returns the configuration by the keys of the file, or the error.
+// describePeers returns the configuration with one line per key of the peers file, or the error.
 func describePeers(t *testing.T, text, listen string) string {
 	t.Helper()
 	config, err := readPeers(t, text, listen)
@@ -62,7 +62,7 @@
 	goldentest.Text(t, "peers_defaults.golden", describePeers(t, goldentest.Read(t, "peers_required_keys.toml"), ""))
 }
 
-// The listen address of the caller overrides the one in the file.
+// The listen parameter of ReadConfig overrides the listen address in the file.
 func TestPeersFileListenOverride(t *testing.T) {
 	required := goldentest.Read(t, "peers_required_keys.toml")
 	goldentest.Text(t, "peers_listen_override.golden", describePeers(t, required, "127.0.0.9:7009"))
@@ -76,7 +76,7 @@
 	goldentest.Text(t, "peers_deployed.golden", describePeers(t, string(text), ""))
 }
 
-// invalidPeersFiles are made from the file with every key by one replacement each.
+// invalidPeersFiles lists invalid peers files and the wanted errors. Each file is peers_every_key.toml with one replacement.
 var invalidPeersFiles = []struct{ name, from, to, want string }{
 	{
 		"empty cluster",
@@ -189,26 +189,26 @@
 		t.Run(test.name, func(t *testing.T) {
 			text := strings.Replace(every, test.from, test.to, 1)
 			if text == every {
-				t.Errorf("%s is not in the file", test.from)
+				t.Errorf("text %s to replace is not in peers_every_key.toml", test.from)
 			}
 			_, err := readPeers(t, text, "")
 			if err == nil {
 				err = errors.New("no error")
 			}
 			if err.Error() != test.want {
-				t.Errorf("%q, want %q", err, test.want)
+				t.Errorf("got error %q, want %q", err, test.want)
 			}
 		})
 	}
 	t.Run("missing file", func(t *testing.T) {
 		_, err := ReadConfig("testdata/absent.toml", "")
 		if err == nil || err.Error() != "peers: open testdata/absent.toml: no such file or directory" {
-			t.Errorf("error %v", err)
+			t.Errorf("got error %v, want that the file does not exist", err)
 		}
 	})
 }
 
-// An address that is in use, for TCP or UDP, is an error that names the key.
+// CheckListenAddress returns an error that names the key if the address is in use for TCP or UDP.
 func TestPeersFileAddressInUse(t *testing.T) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -227,7 +227,7 @@
 		}
 		want := fmt.Sprintf("peers: listen: listen %s %s: bind: address already in use", address.Network(), address)
 		if err := config.CheckListenAddress(); err == nil || err.Error() != want {
-			t.Errorf("%v: %v, want %s", address, err, want)
+			t.Errorf("%v: got error %v, want %s", address, err, want)
 		}
 	}
 }
--- a/internal/gossip/config_test.go
+++ b/internal/gossip/config_test.go
@@ -12,7 +12,7 @@
 seeds = ["127.0.0.1:7946"]
 `
 
-// writePeersFile returns the path of a peers file with that text.
+// writePeersFile writes a peers file with the given text and returns its path.
 func writePeersFile(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "peers.toml")
@@ -22,8 +22,8 @@
 	return file
 }
 
-// The error for an invalid file is one line that names the file and the key.
-func TestReadNamesFileAndKey(t *testing.T) {
+// The error for an invalid peers file is a single line that names the file and the key.
+func TestReadConfigErrorNamesFileAndKey(t *testing.T) {
 	replace := func(from, to string) string { return strings.Replace(validPeersFile, from, to, 1) }
 	for _, test := range []struct{ name, text, want string }{
 		{"unknown key", validPeersFile + "held_s = 1.0\n", "held_s: unknown"},
@@ -43,21 +43,21 @@
 			_, err := ReadConfig(file, "")
 			if err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), file) ||
 				strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want one line with %q and %q", err, file, test.want)
+				t.Errorf("got error %v, want one line with %q and %q", err, file, test.want)
 			}
 		})
 	}
 }
 
-func TestReadListenOverride(t *testing.T) {
+func TestReadConfigListenOverride(t *testing.T) {
 	config, err := ReadConfig(writePeersFile(t, validPeersFile), "127.0.0.9:1")
 	if err != nil || config.Listen != "127.0.0.9:1" || config.Advertise != config.Listen {
-		t.Errorf("%+v %v", config, err)
+		t.Errorf("got config %+v, error %v, want both addresses overridden", config, err)
 	}
 }
 
-func TestReadMissingFile(t *testing.T) {
+func TestReadConfigMissingFile(t *testing.T) {
 	if _, err := ReadConfig(writePeersFile(t, validPeersFile)+"x", ""); err == nil {
-		t.Error("no error for a file that does not exist")
+		t.Error("got no error, want one for a file that does not exist")
 	}
 }
