--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -15,14 +15,14 @@
 
 const testPort = 7946
 
-// loopbackIP returns an address at which no other test, and no other run at the same time, listens. The number is 1
-// to 254.
+// loopbackIP returns a loopback address for the given number, 1 to 254. Tests use different numbers, and the process ID
+// distinguishes concurrent test processes.
 func loopbackIP(number int) string { return fmt.Sprintf("127.41.%d.%d", os.Getpid()%250, number) }
 
-// withTestPort returns the socket address of an agent under test.
+// withTestPort returns the socket address with the given IP address and testPort, where agents under test listen.
 func withTestPort(ip string) string { return fmt.Sprintf("%s:%d", ip, testPort) }
 
-// startAgent starts an agent of a cluster of two, which is closed when the test ends.
+// startAgent starts an agent whose cluster is configured with two proxies. The agent is closed when the test ends.
 func startAgent(t *testing.T, cluster, name, ip string, handler Handler, seeds ...string) *Agent {
 	t.Helper()
 	address := withTestPort(ip)
@@ -42,7 +42,7 @@
 	return agent
 }
 
-// eventually fails the test if the condition does not hold within six seconds.
+// eventually polls the condition, and marks the test as failed if it does not hold within six seconds.
 func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for range 150 {
@@ -51,25 +51,25 @@
 		}
 		time.Sleep(40 * time.Millisecond)
 	}
-	t.Error("never: " + description)
+	t.Error("not within 6 s: " + description)
 }
 
-// healthReport is what a peer found out about an endpoint.
+// healthReport holds the arguments of one call of Handler.HealthReported.
 type healthReport struct {
 	endpoint   string
 	responsive bool
 }
 
-// recordingHandler records what the agent reports.
+// recordingHandler is a Handler that records the calls of the agent.
 type recordingHandler struct {
 	endpoints     chan wire.Endpoint
 	healthReports chan healthReport
 	rows          chan replica.Row
-	share         atomic.Value // latest, a float64; none at first
+	quotaShare    atomic.Value // latest share, a float64; empty before the first call
 }
 
 func newRecordingHandler() *recordingHandler {
-	const capacity = 99 // more than any test has reports
+	const capacity = 99 // more calls than any test causes, so that sending never blocks the event loop
 	return &recordingHandler{
 		endpoints:     make(chan wire.Endpoint, capacity),
 		healthReports: make(chan healthReport, capacity),
@@ -83,7 +83,7 @@
 	h.healthReports <- healthReport{endpoint, responsive}
 }
 
-func (h *recordingHandler) QuotaShareChanged(fraction float64)    { h.share.Store(fraction) }
+func (h *recordingHandler) QuotaShareChanged(fraction float64)    { h.quotaShare.Store(fraction) }
 func (h *recordingHandler) RequestCount() int64                   { return 0 }
 func (h *recordingHandler) WriteRowCount() int64                  { return 0 }
 func (h *recordingHandler) MembersUpdated([]replica.Member, bool) {}
--- a/internal/gossip/joiner_test.go
+++ b/internal/gossip/joiner_test.go
@@ -13,12 +13,12 @@
 		want          []string
 	}{
 		{"from the start", 0, 2, []string{"a", "b"}},
-		{"over the end", 2, 2, []string{"c", "a"}},
+		{"past the end", 2, 2, []string{"c", "a"}},
 		{"offset beyond the length", 7, 3, []string{"b", "c", "a"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := rotate(addresses, test.offset, test.count); !slices.Equal(got, test.want) {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/gossip/memberlist_test.go
+++ b/internal/gossip/memberlist_test.go
@@ -26,7 +26,7 @@
 				got = node.Name
 			}
 			if got != test.want {
-				t.Errorf("node %q, want %q", got, test.want)
+				t.Errorf("got node %q, want %q", got, test.want)
 			}
 		})
 	}
