--- a/internal/gossip/frames_golden_test.go
+++ b/internal/gossip/frames_golden_test.go
@@ -20,33 +20,33 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Frames of memberlist, in which messages are sent.
+// Types and parts of memberlist's frames, which carry the messages.
 const (
 	goldenCluster = "golden"
-	labelHeader   = "\xf4\x06golden" // before each packet and stream
-	frameCompound = 7                // count, lengths of two bytes each, frames
-	frameUser     = 8                // message
-	frameChecksum = 12               // CRC of four bytes, frame
-	frameLast     = 12               // the highest type; compressed and encrypted frames are not allowed
-	frameCompress = 9
-	frameEncrypt  = 10
-	lengthField   = "UserMsgLen" // the one field of the map that follows frameUser on a stream
+	labelHeader   = "\xf4\x06golden" // precedes each packet and stream
+	frameCompound = 7                // followed by a count, that many lengths of two bytes, and that many frames
+	frameUser     = 8                // followed by the message
+	frameChecksum = 12               // followed by a CRC of four bytes and a frame
+	frameLast     = 12               // highest type
+	frameCompress = 9                // compressed frame, which must not be sent
+	frameEncrypt  = 10               // encrypted frame, which must not be sent
+	lengthField   = "UserMsgLen"     // only field of the map that follows frameUser on a stream
 )
 
-// TestNodeMetaAndLocalStateEmpty pins that memberlist carries user messages alone: no metadata and no state of nodes.
+// TestNodeMetaAndLocalStateEmpty checks that memberlist carries only user messages: nodes have no metadata and no state.
 func TestNodeMetaAndLocalStateEmpty(t *testing.T) {
 	var callbacks delegate
 	if meta := callbacks.NodeMeta(512); len(meta) != 0 {
-		t.Errorf("node metadata %x", meta)
+		t.Errorf("got node metadata %x, want none", meta)
 	}
 	for _, join := range []bool{false, true} {
 		if state := callbacks.LocalState(join); len(state) != 0 {
-			t.Errorf("local state %x", state)
+			t.Errorf("got local state %x, want none", state)
 		}
 	}
 }
 
-// TestGossipFramesIncoming checks that the golden message is received in each of the frames that it may come in.
+// TestGossipFramesIncoming checks that the golden message is received in each type of frame that may contain a message.
 func TestGossipFramesIncoming(t *testing.T) {
 	t.Parallel()
 	message := goldenMessage(t, "spread")
@@ -66,16 +66,16 @@
 			case row := <-handler.rows:
 				if row.Kind != replica.KindZoneReport || row.Key != "zone-1" ||
 					row.Writer != goldenSender || row.Sequence != 70000 {
-					t.Errorf("received row %+v", row)
+					t.Errorf("got row %+v, want that of the golden message", row)
 				}
 			case <-time.After(5 * time.Second):
-				t.Error("the message was not received")
+				t.Error("message not received within 5 s")
 			}
 		})
 	}
 }
 
-// TestGossipFramesOutgoing checks the frames in which messages are sent, and the node name by which peers find a proxy.
+// TestGossipFramesOutgoing checks the frames in which messages are sent, and the node name by which peers identify a proxy.
 func TestGossipFramesOutgoing(t *testing.T) {
 	t.Parallel()
 	ip := loopbackIP(10)
@@ -86,10 +86,10 @@
 	}
 	node := nodeAt(t, peer, ip)
 	if !regexp.MustCompile(`^proxy-a/[0-9]{13}$`).MatchString(node.Name) || len(node.Meta) != 0 {
-		t.Errorf("node %q with metadata %x", node.Name, node.Meta)
+		t.Errorf("got node %q with metadata %x, want proxy-a/ with 13 digits and no metadata", node.Name, node.Meta)
 	}
 	agent.PublishHealth("node-1", false)
-	eventually(t, "a health report arrives in a packet", func() bool {
+	eventually(t, "a health observation arrives in a packet", func() bool {
 		return recorded.hasPacket(t, func(m *gossipMessage) bool {
 			return m.Type == replica.ActionGossip && len(m.Rows) == 1 &&
 				m.Rows[0].Kind == replica.KindHealthObservation && m.Rows[0].Key == "node-1"
@@ -107,20 +107,20 @@
 	if err := peer.SendReliable(node, digest); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a digest is answered on a stream", func() bool {
+	eventually(t, "the reply to a digest arrives on a stream", func() bool {
 		return recorded.hasStream(t, func(m *gossipMessage) bool {
 			return m.Type == replica.ActionSendVersions && len(m.Versions) > 0 && m.Buckets != 0
 		})
 	})
 }
 
-// isPublishedEndpoint tells whether a row is the one for the endpoint that the test publishes.
+// isPublishedEndpoint reports whether a row is that of the endpoint that TestGossipFramesOutgoing publishes.
 func isPublishedEndpoint(row *replica.Row) bool {
 	return row.Kind == replica.KindEndpoint && row.Key == "node-2" && row.Writer == "" &&
 		row.Epoch == 7 && row.Rank == 0 && row.Sequence == 5 && len(row.Body) > 0
 }
 
-// foreignDigests returns bucket digests that differ from those of any store.
+// foreignDigests returns bucket digests that differ from those of the agent under test.
 func foreignDigests() []uint64 {
 	digests := make([]uint64, 64)
 	for i := range digests {
@@ -129,7 +129,7 @@
 	return digests
 }
 
-// send sends a frame to an agent, from a socket of no member.
+// send sends a frame to an agent from a socket that belongs to no member.
 func send(t *testing.T, network, ip, frame string) {
 	t.Helper()
 	conn, err := net.Dial(network, withTestPort(ip))
@@ -144,19 +144,20 @@
 	}
 }
 
-// goldenMessage returns the bytes of one case of the golden file of messages.
+// goldenMessage returns the encoded message with the given name from the golden file of messages.
 func goldenMessage(t *testing.T, name string) string {
 	t.Helper()
-	for _, e := range goldentest.ReadEncodings(t, "messages.golden") {
-		if e.Name == name {
-			return string(e.Encoded)
+	for _, encoding := range goldentest.ReadEncodings(t, "messages.golden") {
+		if encoding.Name == name {
+			return string(encoding.Encoded)
 		}
 	}
 	t.Fatalf("no golden message %q", name)
 	return ""
 }
 
-// startPeer starts a member of the cluster that records what it receives.
+// startPeer starts a member of the cluster and returns it with the transport that records the traffic it receives. The
+// member is shut down when the test ends.
 func startPeer(t *testing.T, ip string) (*memberlist.Memberlist, *recordingTransport) {
 	t.Helper()
 	logger := log.New(io.Discard, "", 0)
@@ -212,7 +213,7 @@
 	streamCh chan net.Conn
 	done     chan struct{}
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	packets [][]byte
 	streams []*recordingConn
 }
@@ -248,17 +249,17 @@
 	}
 }
 
-// recordingConn records what is read from a connection.
+// recordingConn records the bytes read from a connection.
 type recordingConn struct {
 	net.Conn
-	mu  sync.Mutex // guards all
-	all []byte
+	mu      sync.Mutex // guards content
+	content []byte
 }
 
 func (c *recordingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
-	c.all = append(c.all, b[:n]...)
+	c.content = append(c.content, b[:n]...)
 	c.mu.Unlock()
 	return n, err
 }
@@ -266,10 +267,10 @@
 func (c *recordingConn) recorded() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return bytes.Clone(c.all)
+	return bytes.Clone(c.content)
 }
 
-// hasPacket tells whether a packet with a matching message has arrived.
+// hasPacket reports whether a packet with a matching message has arrived.
 func (r *recordingTransport) hasPacket(t *testing.T, matches func(*gossipMessage) bool) bool {
 	t.Helper()
 	r.mu.Lock()
@@ -284,7 +285,7 @@
 	return false
 }
 
-// hasStream tells whether a complete matching message has arrived on a stream.
+// hasStream reports whether a complete matching message has arrived on a stream.
 func (r *recordingTransport) hasStream(t *testing.T, matches func(*gossipMessage) bool) bool {
 	t.Helper()
 	r.mu.Lock()
@@ -305,7 +306,7 @@
 		t.Fatalf("%x: %v", encoded, err)
 	}
 	if m.Sender != goldenSender || m.Version != wireVersion || !bytes.Equal(encodeGossip(m), encoded) {
-		t.Errorf("message %x: version %d from %q", encoded, m.Version, m.Sender)
+		t.Errorf("message %x: got version %d from %q, want 1 from proxy-a and the same encoding", encoded, m.Version, m.Sender)
 	}
 	return m
 }
@@ -315,7 +316,7 @@
 	t.Helper()
 	frame, labelled := bytes.CutPrefix(packet, []byte(labelHeader))
 	if !labelled {
-		t.Fatalf("packet without the label: %x", packet)
+		t.Fatalf("packet without the cluster label: %x", packet)
 	}
 	return messagesOfFrame(t, frame)
 }
@@ -338,16 +339,16 @@
 		}
 		return messages
 	case frameCompress, frameEncrypt:
-		t.Fatalf("a compressed or encrypted frame: %x", frame)
+		t.Fatalf("compressed or encrypted frame: %x", frame)
 	}
 	if frame[0] > frameLast {
-		t.Fatalf("an unknown frame: %x", frame)
+		t.Fatalf("frame of an unknown type: %x", frame)
 	}
-	return nil // a frame of memberlist's own
+	return nil // a frame that memberlist uses internally
 }
 
-// messageOfStream returns the user message of a stream without its frame, or nil if the frame is of another type or
-// not yet complete.
+// messageOfStream returns the user message of a stream without its frame. It returns nil if the frame has another type or is
+// not complete yet.
 func messageOfStream(stream []byte) []byte {
 	frame, ok := bytes.CutPrefix(stream, append([]byte(labelHeader), frameUser))
 	if !ok {
--- a/internal/gossip/message_golden_test.go
+++ b/internal/gossip/message_golden_test.go
@@ -14,25 +14,26 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// The tests of the wire format use the package's unexported codec by these three names alone.
+// gossipMessage, encodeGossip and decodeGossip are the only names by which the tests of the wire format use the unexported
+// codec.
 type gossipMessage = message
 
 func encodeGossip(m *gossipMessage) []byte                { return m.encode() }
 func decodeGossip(encoded []byte) (*gossipMessage, error) { return decodeMessage(encoded) }
 
-// wireVersion is the version that messages carry.
+// wireVersion is the protocol version of encoded messages.
 const wireVersion = 1
 
-// goldenSender is the name of the proxy that sends the golden messages.
+// goldenSender is the sender in the golden messages.
 const goldenSender = "proxy-a"
 
-// messageCase is a message whose encoding the golden file pins.
+// messageCase is a message whose encoding the golden file contains.
 type messageCase struct {
 	name    string
 	message gossipMessage
 }
 
-// messageCases returns a message of each type with all its fields, and one with every field.
+// messageCases returns a message of each type with the fields that this type uses, and a last one with all fields.
 func messageCases() []messageCase {
 	rows := goldenRows()
 	versions := []replica.RowVersion{{RowID: 0x0102030405060708, VersionHash: 0xf1f2f3f4f5f6f7f8}, {RowID: 1, VersionHash: 2}}
@@ -54,7 +55,7 @@
 	}
 }
 
-// goldenRows returns a row with every field, and one of each kind.
+// goldenRows returns a row with all fields, followed by a row of each kind.
 func goldenRows() []replica.Row {
 	rows := []replica.Row{{
 		Kind: replica.KindZoneReport, Key: "zone-1", Writer: goldenSender, Epoch: 1700000000000, Rank: 1, Sequence: 70000,
@@ -74,7 +75,8 @@
 	return digests
 }
 
-// TestGossipMessageEncoding pins the encoding of each type of message, and that the golden bytes decode to its values.
+// TestGossipMessageEncoding checks that each type of message is encoded as in the golden file, and that the golden bytes are
+// decoded as the same message.
 func TestGossipMessageEncoding(t *testing.T) {
 	cases := messageCases()
 	var encodings []goldentest.Encoding
@@ -87,15 +89,15 @@
 			want.Version = wireVersion
 			got, err := decodeGossip(golden)
 			if err != nil {
-				t.Errorf("decoding: %v", err)
+				t.Errorf("decoding the golden bytes: %v", err)
 			} else if !reflect.DeepEqual(*got, want) {
-				t.Errorf("decoded as\n%+v, want\n%+v", *got, want)
+				t.Errorf("got\n%+v, want\n%+v", *got, want)
 			}
 		})
 	}
 }
 
-// TestGossipMessageFields fails when a field is added to messages that the golden file does not pin.
+// TestGossipMessageFields fails if message has a field that is not set in the golden messages, for instance a new one.
 func TestGossipMessageFields(t *testing.T) {
 	cases := messageCases()
 	all := cases[len(cases)-1].message
@@ -103,15 +105,16 @@
 	v := reflect.ValueOf(all)
 	for i := range v.NumField() {
 		if v.Field(i).IsZero() {
-			t.Errorf("%s: not set", v.Type().Field(i).Name)
+			t.Errorf("field %s is not set in the golden messages", v.Type().Field(i).Name)
 		}
 	}
 }
 
-// fields is a message as another version may write it.
+// fields contains the fields of a message by their encoded names, so that it can represent messages of other versions.
 type fields map[string]any
 
-// encodeFields encodes a valid message with some fields replaced, added, or where they are nil left out.
+// encodeFields encodes a valid message to which changes are applied: each field is replaced or added, or omitted if its
+// value is nil.
 func encodeFields(t *testing.T, changes fields) []byte {
 	t.Helper()
 	all := fields{"v": wireVersion, "f": goldenSender, "t": 3}
@@ -142,7 +145,7 @@
 	plainVersion = []any{1, 2}
 )
 
-// TestGossipMessageAccepted checks that messages up to the bounds, and those of later versions, are decoded.
+// TestGossipMessageAccepted checks that messages at the bounds and messages of later versions are decoded.
 func TestGossipMessageAccepted(t *testing.T) {
 	for name, encoded := range map[string][]byte{
 		"minimal":                 encodeFields(t, nil),
@@ -165,7 +168,7 @@
 	}
 }
 
-// TestGossipMessageUnknownFields checks that unknown fields of a message and of its rows change nothing else in them.
+// TestGossipMessageUnknownFields checks that unknown fields of a message and of its rows do not affect the other fields.
 func TestGossipMessageUnknownFields(t *testing.T) {
 	row := map[string]any{"k": 77, "n": "node-1", "e": 4, "later": true}
 	got, err := decodeGossip(encodeFields(t, fields{"v": 9, "later": []any{1}, "r": []any{row}, "w": 5}))
@@ -174,16 +177,16 @@
 		Rows: []replica.Row{{Kind: 77, Key: "node-1", Epoch: 4}}, Buckets: 5,
 	}
 	if err != nil || !reflect.DeepEqual(*got, want) {
-		t.Errorf("%+v %v, want %+v", got, err, want)
+		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
 }
 
-// TestGossipMessageRejected checks what is malformed.
+// TestGossipMessageRejected checks that malformed messages are rejected.
 func TestGossipMessageRejected(t *testing.T) {
 	valid := encodeFields(t, nil)
 	for name, encoded := range map[string][]byte{
 		"empty":                 nil,
-		"no msgpack":            {0xc1},
+		"not msgpack":           {0xc1},
 		"not a map":             {0x01},
 		"truncated":             valid[:len(valid)-1],
 		"no version":            encodeFields(t, fields{"v": nil}),
@@ -203,16 +206,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := decodeGossip(encoded); !errors.Is(err, errMalformedMessage) {
-				t.Errorf("decoded as %+v, error %v", got, err)
+				t.Errorf("got message %+v, error %v, want errMalformedMessage", got, err)
 			}
 		})
 	}
 }
 
-// messageOfLength returns a message of that length that is valid in all other respects.
+// messageOfLength returns an encoded message of the given length in bytes that is valid except possibly for its length.
 func messageOfLength(t *testing.T, length int) []byte {
 	t.Helper()
-	const padding = 1 << 19 // its length is encoded in as many bytes as that of the final one
+	const padding = 1 << 19 // its length takes as many bytes to encode as that of the final padding
 	short := encodeFields(t, fields{"pad": bytes.Repeat([]byte{0}, padding)})
 	encoded := encodeFields(t, fields{"pad": bytes.Repeat([]byte{0}, padding+length-len(short))})
 	if len(encoded) != length {
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Fields that a later version adds are ignored, and fields that are missing are zero.
+// Decoding ignores fields that a later version may add, and leaves fields that are absent at zero.
 func TestDecodeMessageOfLaterVersion(t *testing.T) {
 	row := map[string]any{"k": 3, "n": "c1", "e": 4, "newer": true}
 	later, err := msgpack.Marshal(map[string]any{"v": 9, "f": "x", "t": replica.ActionSendRows, "new": []int{1}, "r": []any{row}})
@@ -19,7 +19,7 @@
 	}
 	m, err := decodeMessage(later)
 	if err != nil || len(m.Rows) != 1 || m.Rows[0].Key != "c1" || m.Rows[0].Epoch != 4 {
-		t.Errorf("%+v %v", m, err)
+		t.Errorf("got message %+v, error %v, want one row with key c1 and epoch 4", m, err)
 	}
 }
 
@@ -29,33 +29,34 @@
 		encoded []byte
 	}{
 		{"empty", nil},
-		{"no msgpack", []byte{0xc1}},
+		{"not msgpack", []byte{0xc1}},
 		{"wrong number of digests", (&message{Sender: "x", Digests: make([]uint64, 3)}).encode()},
 		{"no sender", (&message{}).encode()},
 		{"too long", make([]byte, maxMessageLength+1)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if m, err := decodeMessage(test.encoded); !errors.Is(err, errMalformedMessage) {
-				t.Errorf("%d bytes decoded as %+v, error %v", len(test.encoded), m, err)
+				t.Errorf("%d bytes: got message %+v, error %v, want errMalformedMessage", len(test.encoded), m, err)
 			}
 		})
 	}
 }
 
-// A message whose claimed length exceeds its content is rejected without allocating that length.
+// A message that declares a longer list than it contains is rejected without allocating memory for the declared length.
 func TestDecodeMessageBoundsAllocations(t *testing.T) {
 	start := (&message{Sender: "x", Rows: make([]replica.Row, 1)}).encode()[:12]
-	claim := slices.Concat(start, []byte{0xdd, 0x7f, 0xff, 0xff, 0xff}) // a list of 2^31-1 rows, of which none follows
+	truncated := slices.Concat(start, []byte{0xdd, 0x7f, 0xff, 0xff, 0xff}) // header of a list of 2^31-1 rows, without the rows
 	var err error
-	if allocations := testing.AllocsPerRun(10, func() { _, err = decodeMessage(claim) }); allocations > 200 {
-		t.Errorf("%v allocations", allocations)
+	if allocations := testing.AllocsPerRun(10, func() { _, err = decodeMessage(truncated) }); allocations > 200 {
+		t.Errorf("got %v allocations, want at most 200", allocations)
 	}
 	if !errors.Is(err, errMalformedMessage) {
-		t.Errorf("error %v, want %v", err, errMalformedMessage)
+		t.Errorf("got error %v, want %v", err, errMalformedMessage)
 	}
 }
 
-// Any bytes are either rejected or decoded to a message that the store takes and that can be encoded again.
+// Any input is either rejected or decoded as a message that the store handles without a panic and that can be encoded and
+// decoded again.
 func FuzzDecodeMessage(f *testing.F) {
 	heartbeat := replica.Row{Kind: replica.KindHeartbeat, Key: "x", Writer: "x", Body: []byte{0x81}}
 	f.Add((&message{Sender: "x", Type: replica.ActionSendRows, Rows: []replica.Row{heartbeat}}).encode())
