--- a/recovery/answers.go
+++ b/recovery/answers.go
@@ -1,23 +1,24 @@
 package recovery
 
 const (
-	// answerDecay is the factor by which each answer lowers the weight of all earlier ones: the latest 20 have most of it.
-	answerDecay = 0.95
-	// minInTimePerLate asks for nine answers in ten to be in time.
+	// outcomeDecay is the factor by which each outcome reduces the weight of all earlier ones. The latest 20 outcomes
+	// carry about 64% of the total weight.
+	outcomeDecay = 0.95
+	// minInTimePerLate is the required ratio of outcomes in time to late outcomes: nine in ten must be in time.
 	minInTimePerLate = 9
 )
 
-// answerCounts counts the answers in time and the late ones, as an exponentially weighted sum of each.
-type answerCounts struct {
-	total  int
+// outcomeCounts holds exponentially weighted counts of the requests that finished in time and of those that did not.
+type outcomeCounts struct {
+	total  int // not weighted
 	inTime float64
 	late   float64
 }
 
-func (c *answerCounts) add(inTime bool) {
+func (c *outcomeCounts) add(inTime bool) {
 	c.total++
-	c.inTime *= answerDecay
-	c.late *= answerDecay
+	c.inTime *= outcomeDecay
+	c.late *= outcomeDecay
 	if inTime {
 		c.inTime++
 	} else {
@@ -25,4 +26,4 @@
 	}
 }
 
-func (c *answerCounts) mostlyInTime() bool { return c.inTime >= minInTimePerLate*c.late }
+func (c *outcomeCounts) mostlyInTime() bool { return c.inTime >= minInTimePerLate*c.late }
--- a/recovery/endpointlist.go
+++ b/recovery/endpointlist.go
@@ -5,63 +5,67 @@
 	"time"
 )
 
-// EndpointStatus is the status of an endpoint on a list. A later constant is stricter.
+// EndpointStatus is the status of an endpoint in an endpoint list. The constants are ordered from the least to the most
+// strict.
 type EndpointStatus uint8
 
 const (
-	// EndpointReady endpoints take requests.
+	// EndpointReady is the status of an endpoint that accepts requests.
 	EndpointReady EndpointStatus = iota
-	// EndpointDraining endpoints are draining: they get no new requests.
+	// EndpointDraining is the status of an endpoint that is draining and receives no new requests.
 	EndpointDraining
-	// EndpointRemoved endpoints are no longer part of the fleet.
+	// EndpointRemoved is the status of an endpoint that is no longer part of the fleet.
 	EndpointRemoved
 )
 
-// Endpoint is one endpoint of a list.
+// Endpoint is one entry of an endpoint list.
 type Endpoint struct {
 	Name   string
 	Status EndpointStatus
 }
 
-// EndpointList is an endpoint list with its version, as discovery numbers it.
+// EndpointList is an endpoint list with the version index that discovery assigned to it.
 type EndpointList struct {
-	Index     int64
+	Index     int64 // version, increasing
 	Endpoints []Endpoint
 }
 
-// StoredEndpointList is the endpoint list of the state file.
+// StoredEndpointList is the endpoint list from the state file.
 type StoredEndpointList struct {
 	EndpointList
-	// SavedAt is when it was stored, by the wall clock of that time.
+	// SavedAt is the wall-clock time at which the list was saved.
 	SavedAt time.Time
 }
 
-// Selection says which endpoint list to start with, and which of its endpoints get no requests.
+// Selection is the endpoint list to start with, and the endpoints in it that receive no requests.
 type Selection struct {
-	// UseStored is true if the stored list is the one to start with, false for the configured one.
+	// UseStored is true if the proxy starts with the stored list, and false if it starts with the configured list.
 	UseStored bool
-	// Draining names the endpoints of the configured list that get no requests, because the stored list has them in a
-	// stricter status. In the order of the configured list; always empty if the stored list is used.
+	// Draining holds the names of the endpoints of the configured list that receive no requests because their status
+	// in the stored list is stricter, in the order of the configured list. It is empty if the stored list is used.
 	Draining []string
-	// Reason is the reason, for the log and for operators.
+	// Reason is the reason for the selection, for the log and for operators.
 	Reason string
 }
 
-// SelectEndpointList chooses the endpoint list to start with: the stored one or the configured one.
+// SelectEndpointList selects the stored or the configured endpoint list as the one to start with.
 //
-// The higher index wins, since wall clocks can be set back. A stored list is not used if it is older than maxAge, or if
-// its time lies in the future, which means that the clock was set back and its age is unknown. In both cases its
-// statuses still count, unless the configured list has a higher index: requests must not go to an endpoint that was
-// told to drain. The same holds for lists of the same index.
+// The list with the higher index is selected. Indexes are compared rather than times because a wall clock can be set
+// back. The stored list is not used if it is older than maxAge, or if its save time is in the future: the clock was set
+// back, and the age of the list is unknown.
+//
+// If the stored list is not used, its stricter statuses still apply to the configured list, unless the configured list
+// has the higher index: requests must not be sent to an endpoint that was set to draining. This includes lists with
+// equal indexes, of which the configured one is selected.
 func SelectEndpointList(stored StoredEndpointList, configured EndpointList, now time.Time, maxAge time.Duration) Selection {
 	age := now.Sub(stored.SavedAt)
 	drained := drainedByStored(stored.EndpointList, configured)
-	// Operators see these texts in the answer to GET /control/recovery.
+	// These texts are part of the response to GET /control/recovery.
 	switch {
 	case age < 0:
-		return Selection{Draining: drained, Reason: fmt.Sprintf("stored %v from now by this clock: its drains alone count", -age)}
+		return Selection{Draining: drained, Reason: fmt.Sprintf("saved %v in the future: only its drains apply", -age)}
 	case age > maxAge:
-		return Selection{Draining: drained, Reason: fmt.Sprintf("stored %v ago, over %v: its drains alone count",
+		return Selection{Draining: drained, Reason: fmt.Sprintf("saved %v ago, over %v: only its drains apply",
 			age.Round(time.Second), maxAge)}
 	case stored.Index > configured.Index:
 		return Selection{UseStored: true, Reason: fmt.Sprintf("stored %v ago at index %d, after the configuration's %d",
@@ -72,8 +76,8 @@
 	}
 }
 
-// drainedByStored returns the names of the configured endpoints that have a stricter status in the stored list, none if
-// that is the older one.
+// drainedByStored returns the names of the configured endpoints whose status is stricter in the stored list. It returns
+// nil if the stored list has the lower index.
 func drainedByStored(stored, configured EndpointList) []string {
 	if stored.Index < configured.Index {
 		return nil
--- a/recovery/endpointlist_test.go
+++ b/recovery/endpointlist_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// endpoints reads a list such as "+a -b !c": a is ready, b is draining, c has left.
+// endpoints parses an endpoint list such as "+a -b !c", in which a is ready, b is draining and c is removed.
 func endpoints(t *testing.T, text string) []Endpoint {
 	t.Helper()
 	var all []Endpoint
 	for _, word := range strings.Fields(text) {
 		status, known := map[byte]EndpointStatus{'+': EndpointReady, '-': EndpointDraining, '!': EndpointRemoved}[word[0]]
 		if !known {
-			t.Fatalf("%q: no status %q", text, word[0])
+			t.Fatalf("%q: unknown status %q", text, word[0])
 		}
 		all = append(all, Endpoint{word[1:], status})
 	}
@@ -45,7 +45,7 @@
 			selection := SelectEndpointList(stored, EndpointList{test.configuredIndex, endpoints(t, test.configured)}, now, maxAge)
 			drained := strings.Join(selection.Draining, " ")
 			if selection.UseStored != test.wantStored || drained != test.wantDrained || selection.Reason == "" {
-				t.Errorf("got %+v, want stored %v, drained %q, a reason", selection, test.wantStored, test.wantDrained)
+				t.Errorf("got %+v, want UseStored %v, Draining %q and a reason", selection, test.wantStored, test.wantDrained)
 			}
 		})
 	}
--- a/recovery/errors.go
+++ b/recovery/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// ClusterMismatchError reports a state file that a proxy of another cluster wrote.
+// ClusterMismatchError reports that the state file was written by a proxy of another cluster.
 type ClusterMismatchError struct {
-	StoredCluster string // the cluster in the state file
-	OwnCluster    string // the cluster of this proxy
+	StoredCluster string // cluster name in the state file
+	OwnCluster    string // cluster name of this proxy
 }
 
 func (e *ClusterMismatchError) Error() string {
--- a/recovery/stage.go
+++ b/recovery/stage.go
@@ -1,21 +1,22 @@
 package recovery
 
-// Stage is a stage of recovery.
+// Stage is a stage of recovery. The constants are in the order in which the stages follow one another.
 type Stage uint8
 
 const (
-	// StageStandalone lasts until discovery or a peer is heard: the proxy has its configuration and its state file.
+	// StageStandalone is the stage until contact with discovery or a peer. The proxy has only its configuration and its
+	// state file.
 	StageStandalone Stage = iota
-	// StageCatchingUp lasts until the replicated state is synchronized with a peer.
+	// StageCatchingUp is the stage until the replicated state is synchronized with a peer.
 	StageCatchingUp
-	// StageWarmingUp lasts until enough recent requests were answered in time: the proxy has the state, but few
-	// measurements of its endpoints.
+	// StageWarmingUp is the stage until enough recent requests were answered in time. The proxy has the replicated state,
+	// but few measurements of its endpoints.
 	StageWarmingUp
-	// StageFull is normal service.
+	// StageFull is normal service, the last stage.
 	StageFull
 )
 
-// stageNames are part of the answers to GET /control/recovery and GET /control/ready.
+// stageNames are the names of the stages in the responses to GET /control/recovery and GET /control/ready.
 var stageNames = [...]string{
 	StageStandalone: "alone",
 	StageCatchingUp: "catching up",
@@ -23,28 +24,29 @@
 	StageFull:       "full",
 }
 
-// String returns the name that operators see. Values that are no stage wrap around.
+// String returns the name of the stage for operators. For a value that is not a stage it returns the name of the stage
+// that equals the value modulo the number of stages.
 func (s Stage) String() string { return stageNames[int(s)%len(stageNames)] }
 
-// transition is a rule by which a stage ends.
+// transition is a transition from one stage to the next, taken when its condition is true.
 type transition struct {
 	from   Stage
 	when   func(*Tracker) bool
 	to     Stage
-	reason string // part of the answers to GET /control/recovery and GET /control/ready
+	reason string // for the responses to GET /control/recovery and GET /control/ready
 }
 
-// transitions are tried in this order; the first one whose predicate holds is taken. Each stage but the last has one
-// that depends on time alone.
+// transitions are checked in this order, and the first one whose condition is true is taken. Every stage except the
+// last has a transition that depends on time alone, so that it ends in any case.
 var transitions = []transition{
-	{StageStandalone, (*Tracker).hasListAndState, StageWarmingUp, "the list is told"},
-	{StageStandalone, (*Tracker).hasContact, StageCatchingUp, "others are heard"},
-	{StageStandalone, (*Tracker).standaloneLimitReachedBeforeSync, StageCatchingUp, "nobody is heard yet"},
-	{StageStandalone, (*Tracker).standaloneLimitReached, StageWarmingUp, "nobody is heard; it goes on with what it has"},
+	{StageStandalone, (*Tracker).hasListAndState, StageWarmingUp, "endpoint list received"},
+	{StageStandalone, (*Tracker).hasContact, StageCatchingUp, "contact with discovery or a peer"},
+	{StageStandalone, (*Tracker).standaloneLimitReachedBeforeSync, StageCatchingUp, "no contact with discovery or peers yet"},
+	{StageStandalone, (*Tracker).standaloneLimitReached, StageWarmingUp, "no contact: continuing with the available state"},
 	{StageCatchingUp, (*Tracker).synchronized, StageWarmingUp, "caught up"},
-	{StageCatchingUp, (*Tracker).catchUpLimitReached, StageWarmingUp, "as far as it goes in its time"},
-	{StageWarmingUp, (*Tracker).answersInTime, StageFull, "answers come in time"},
-	{StageWarmingUp, (*Tracker).warmUpLimitReached, StageFull, "its time is over"},
+	{StageCatchingUp, (*Tracker).catchUpLimitReached, StageWarmingUp, "time limit reached before all state was received"},
+	{StageWarmingUp, (*Tracker).requestsInTime, StageFull, "answers come in time"},
+	{StageWarmingUp, (*Tracker).warmUpLimitReached, StageFull, "time limit reached"},
 }
 
 func (t *Tracker) hasListAndState() bool {
@@ -67,8 +69,8 @@
 
 func (t *Tracker) catchUpLimitReached() bool { return t.timeInStage() >= t.settings.CatchUpLimit }
 
-func (t *Tracker) answersInTime() bool {
-	return t.answers.total >= t.settings.MinAnswers && t.answers.mostlyInTime()
+func (t *Tracker) requestsInTime() bool {
+	return t.outcomes.total >= t.settings.MinRequests && t.outcomes.mostlyInTime()
 }
 
 func (t *Tracker) warmUpLimitReached() bool { return t.timeInStage() >= t.settings.WarmUpLimit }
--- a/recovery/tracker.go
+++ b/recovery/tracker.go
@@ -2,32 +2,32 @@
 
 import "fmt"
 
-// StageChange is a change of stage, for the caller to log.
+// StageChange is a change of the stage, for the caller to log.
 type StageChange struct {
-	// Text names both stages, the time spent in the earlier one in seconds, and the reason.
+	// Text contains the new stage, the seconds spent in the previous stage, the previous stage and the reason.
 	Text string
 }
 
-// Tracker decides in which stage of recovery one proxy is. The package comment says how it may be called.
+// Tracker tracks the stage of recovery of one proxy. It is not safe for concurrent use; see the package comment.
 type Tracker struct {
 	settings   Settings
-	now        Time // the latest time that a caller reported
+	now        Time // latest time passed to a method
 	start      Time
 	lastTick   Time
 	stage      Stage
 	stageStart Time
 
 	listReceived bool // discovery or a peer has sent an endpoint list since the start or the last pause
-	catchingUp   bool // replication is behind the peers
-	peerSeen     bool // a peer was alive at some time
-	answers      answerCounts
+	catchingUp   bool // replication has not yet received all state of the peers
+	peerSeen     bool // a peer has been alive since the start of the process
+	outcomes     outcomeCounts
 
-	figures Status
-	changes []StageChange // of the call in progress
+	status  Status
+	changes []StageChange // made by the current call
 }
 
-// New returns a tracker in its first stage, StageStandalone. For operators it also takes what became of the stored
-// endpoint list, and the number of endpoints that are drained because of it.
+// New returns a tracker in the first stage, StageStandalone. The parameters stored and drained are reported by
+// [Tracker.Status] as StoredList and DrainingEndpoints.
 func New(now Time, settings Settings, stored string, drained int) *Tracker {
 	return &Tracker{
 		settings:   settings,
@@ -36,18 +36,18 @@
 		lastTick:   now,
 		stageStart: now,
 		catchingUp: settings.HasPeers,
-		figures:    Status{Reason: "started", StoredList: stored, DrainingEndpoints: drained},
+		status:     Status{Reason: "started", StoredList: stored, DrainingEndpoints: drained},
 	}
 }
 
-// EndpointListReceived reports that discovery or a peer has sent an endpoint list or a change of one.
+// EndpointListReceived records that discovery or a peer has sent an endpoint list or a change of one.
 func (t *Tracker) EndpointListReceived(now Time) []StageChange {
 	t.begin(now)
 	t.listReceived = true
 	return t.advance()
 }
 
-// UpdatePeers reports how many peers are alive, and whether replication is still catching up with them.
+// UpdatePeers records the number of peers that are alive, and whether replication is still catching up with them.
 func (t *Tracker) UpdatePeers(now Time, alive int, catchingUp bool) []StageChange {
 	t.begin(now)
 	t.peerSeen = t.peerSeen || alive > 0
@@ -55,16 +55,16 @@
 	return t.advance()
 }
 
-// RequestFinished reports that a request has finished, and whether it was answered in time. The next call of another method
-// takes it into account.
+// RequestFinished records that a request has finished, and whether it was answered in time. A resulting stage change is
+// made by the next call of another method that takes an event.
 func (t *Tracker) RequestFinished(inTime bool) {
 	if t.stage != StageFull {
-		t.answers.add(inTime)
+		t.outcomes.add(inTime)
 	}
 }
 
-// Tick reports the time, about ten times a second. A longer gap than Settings.PauseThreshold means that the process was
-// paused: recovery starts again.
+// Tick advances the time. The caller calls it about ten times a second. An interval between two calls longer than
+// Settings.PauseThreshold means that the process was paused: recovery starts again.
 func (t *Tracker) Tick(now Time) []StageChange {
 	t.begin(now)
 	if gap := t.now.Sub(t.lastTick); gap > t.settings.PauseThreshold {
@@ -77,22 +77,22 @@
 // Stage returns the current stage.
 func (t *Tracker) Stage() Stage { return t.stage }
 
-// Status returns the figures for operators.
+// Status returns the status at the given time, for operators.
 func (t *Tracker) Status(now Time) Status {
-	figures := t.figures
-	figures.Stage = t.stage.String()
-	figures.InStageMS = now.Sub(t.stageStart).Milliseconds()
-	return figures
+	status := t.status
+	status.Stage = t.stage.String()
+	status.InStageMS = now.Sub(t.stageStart).Milliseconds()
+	return status
 }
 
-// begin starts a call: time never runs backwards, and the changes of the previous call are dropped.
+// begin starts a call. It advances the time, which never goes backward, and drops the changes of the previous call.
 func (t *Tracker) begin(now Time) {
 	t.now = max(now, t.now)
-	t.changes = nil // what was returned is the caller's
+	t.changes = nil // not truncated: the returned slice belongs to the caller
 }
 
-// advance takes transitions until none applies, and returns all changes of this call. It ends since no transition leads
-// to an earlier stage.
+// advance takes transitions until none applies, and returns all changes of the current call. It terminates because no
+// transition leads to an earlier stage.
 func (t *Tracker) advance() []StageChange {
 	for {
 		next := t.nextTransition()
@@ -103,7 +103,7 @@
 	}
 }
 
-// nextTransition returns the first transition that applies, or nil.
+// nextTransition returns the first transition that applies, or nil if there is none.
 func (t *Tracker) nextTransition() *transition {
 	for n := range transitions {
 		if rule := &transitions[n]; rule.from == t.stage && rule.when(t) {
@@ -113,31 +113,32 @@
 	return nil
 }
 
-// enter changes the stage.
+// enter changes the stage and records the change.
 func (t *Tracker) enter(stage Stage, reason string) {
 	text := fmt.Sprintf("%v after %.1f s %v: %s", stage, t.timeInStage().Seconds(), t.stage, reason)
 	t.changes = append(t.changes, StageChange{Text: text})
 	t.stage, t.stageStart = stage, t.now
-	t.figures.Reason = reason
+	t.status.Reason = reason
 	switch stage {
 	case StageWarmingUp:
-		t.answers = answerCounts{}
+		t.outcomes = outcomeCounts{}
 	case StageFull:
-		t.noteFullService()
+		t.recordFullService()
 	}
 }
 
-// noteFullService records when full service is reached for the first time: after 1 ms at least, since 0 means not yet.
-func (t *Tracker) noteFullService() {
-	if t.figures.FullServiceAfterMS == 0 {
-		t.figures.FullServiceAfterMS = max(t.now.Sub(t.start).Milliseconds(), 1)
+// recordFullService records the time after which full service is reached for the first time. The minimum is 1 ms, since
+// 0 means that full service has not been reached yet.
+func (t *Tracker) recordFullService() {
+	if t.status.FullServiceAfterMS == 0 {
+		t.status.FullServiceAfterMS = max(t.now.Sub(t.start).Milliseconds(), 1)
 	}
 }
 
-// restart goes back to the first stage after a pause: what discovery and peers said before is out of date.
+// restart returns to the first stage after a pause, because the state received from discovery and peers is out of date.
 func (t *Tracker) restart(pause Duration) {
-	t.figures.Pauses++
+	t.status.Pauses++
 	t.listReceived = false
 	t.catchingUp = t.settings.HasPeers
-	t.enter(StageStandalone, fmt.Sprintf("stood still for %.1f s", pause.Seconds()))
+	t.enter(StageStandalone, fmt.Sprintf("process was paused for %.1f s", pause.Seconds()))
 }
--- a/recovery/tracker_test.go
+++ b/recovery/tracker_test.go
@@ -7,19 +7,19 @@
 	"pgregory.net/rapid"
 )
 
-// tickInterval is the time between calls of Tick in these tests.
+// tickInterval is the interval between calls of Tick in these tests.
 const tickInterval = Second / 10
 
-// seconds returns the instant that many seconds after zero.
+// seconds returns the instant n seconds after zero.
 func seconds(n Duration) Time { return Time(0).Add(n * Second) }
 
-// Each stage ends, with peers and without, and when nobody answers.
+// Each stage ends on its event or at its time limit, with and without peers.
 func TestStagesFollowEventsAndTimeLimits(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		hasPeers bool
-		play     func(tracker *Tracker, now Time) // the events before each tick
-		want     string                           // stages, with the second in which each began
+		events   func(tracker *Tracker, now Time) // reports the events before each tick
+		want     string                           // stages, each followed by the second in which it began
 	}{
 		{"endpoint list after a second", false, func(tracker *Tracker, now Time) {
 			if now == seconds(1) {
@@ -36,7 +36,7 @@
 		{"peers that never synchronize", true, func(tracker *Tracker, now Time) {
 			tracker.UpdatePeers(now, 2, true)
 		}, "alone 0 catching up 0 warming 5 full 15"},
-		{"late answers", false, func(tracker *Tracker, now Time) {
+		{"late responses", false, func(tracker *Tracker, now Time) {
 			tracker.EndpointListReceived(now)
 			tracker.RequestFinished(now%Time(Second/2) == 0)
 		}, "alone 0 warming 0 full 10"},
@@ -45,28 +45,28 @@
 			tracker := New(0, DefaultSettings(test.hasPeers), "", 0)
 			got, last := "alone 0", StageStandalone
 			for now := Time(0); now < seconds(30); now = now.Add(tickInterval) {
-				test.play(tracker, now)
+				test.events(tracker, now)
 				if tracker.Tick(now); tracker.Stage() != last {
 					last = tracker.Stage()
 					got += fmt.Sprintf(" %v %d", last, now/seconds(1))
 				}
 			}
 			if got != test.want {
-				t.Errorf("stages %q, want %q", got, test.want)
+				t.Errorf("got stages %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// Whatever events come in whatever order, full service is reached within the sum of the time limits, and a pause starts
-// recovery again.
+// After any sequence of events, full service is reached within the sum of the time limits, and a pause starts recovery
+// again.
 func TestFullServiceIsReachedAfterAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings(rapid.Bool().Draw(t, "has peers"))
 		tracker, now := New(0, settings, "", 0), Time(0)
 		for range rapid.IntRange(0, 60).Draw(t, "calls") {
 			now = now.Add(Duration(rapid.Int64Range(0, int64(Second)).Draw(t, "gap")))
-			playDrawnEvent(t, tracker, now)
+			reportRandomEvent(t, tracker, now)
 		}
 		limit := now.Add(settings.StandaloneLimit + settings.CatchUpLimit + settings.WarmUpLimit + Second)
 		for ; now < limit; now = now.Add(tickInterval) {
@@ -81,8 +81,8 @@
 	})
 }
 
-// playDrawnEvent reports an event that rapid draws.
-func playDrawnEvent(t *rapid.T, tracker *Tracker, now Time) {
+// reportRandomEvent reports a random event to the tracker.
+func reportRandomEvent(t *rapid.T, tracker *Tracker, now Time) {
 	switch rapid.IntRange(0, 3).Draw(t, "event") {
 	case 0:
 		tracker.EndpointListReceived(now)
@@ -95,18 +95,18 @@
 	}
 }
 
-// What one call returned is the caller's, and stands when the next has returned.
+// The slice returned by one call belongs to the caller. It must not be overwritten by the next call.
 func TestStageChangesStayAfterNextCall(t *testing.T) {
 	settings := DefaultSettings(true)
 	tracker := New(0, settings, "", 0)
 	now := Time(0).Add(settings.StandaloneLimit)
 	first := tracker.Tick(now)
 	if len(first) != 1 {
-		t.Fatalf("%+v, want one change", first)
+		t.Fatalf("got %+v, want one change", first)
 	}
 	text := first[0].Text
 	second := tracker.UpdatePeers(now, 1, false)
 	if len(second) != 1 || second[0].Text == text || first[0].Text != text {
-		t.Errorf("%+v and then %+v, where the first was %q", first, second, text)
+		t.Errorf("first call returned %+v, second %+v; want the first unchanged (%q) and one other change", first, second, text)
 	}
 }
