--- a/zonehealth/attempts.go
+++ b/zonehealth/attempts.go
@@ -36,19 +36,19 @@
 	e := &n.zone.evidence
 	if outcome == AnsweredInTime {
 		e.counts.inTime++
-		e.inTimeAt = now
+		e.lastInTimeAt = now
 		c.latency.add(elapsed)
 	} else {
 		e.counts.late++
 	}
-	n.waitingSince, n.overdue, n.answeredAt, e.answeredAt = now, false, now, now
+	n.waitingSince, n.overdue, n.lastResponseAt, e.lastResponseAt = now, false, now, now
 	e.clearRun()
 }
 
 func (c *Controller) attemptUnanswered(n *node, now Time, outcome Outcome, elapsed Time) {
 	e := &n.zone.evidence
 	if outcome == ConnectFailed {
-		e.addUnconnected(n.hash)
+		e.addConnectFailure(n.hash)
 	}
 	if outcome == Cancelled && !n.overdue && elapsed < c.overdue() {
 		return // cancelled by its client or for want of time, which is no evidence about the node
@@ -65,14 +65,14 @@
 // ConnectionOpened reports that a new connection to a node was opened: its machine is alive, however long answers take.
 func (c *Controller) ConnectionOpened(index int) {
 	if n := c.node(index); n != nil && n.zone != nil {
-		n.zone.evidence.unconnectedNodes = n.zone.evidence.unconnectedNodes[:0]
+		n.zone.evidence.connectFailedNodes = n.zone.evidence.connectFailedNodes[:0]
 	}
 }
 
 // ConnectionRefused reports that a new connection to a node was refused or could not be opened.
 func (c *Controller) ConnectionRefused(index int) {
 	if n := c.node(index); n != nil && n.zone != nil {
-		n.zone.evidence.addUnconnected(n.hash)
+		n.zone.evidence.addConnectFailure(n.hash)
 	}
 }
 
--- a/zonehealth/confirmation.go
+++ b/zonehealth/confirmation.go
@@ -11,20 +11,20 @@
 func (s *confirmation) clearSuspicion() { s.suspectedAt, s.corroboratedAt = 0, 0 }
 
 func (c *Controller) suspicionOver(z *zone) bool {
-	return z.confirmation.suspectedAt > 0 && !c.convicted(z)
+	return z.confirmation.suspectedAt > 0 && !c.lossSuspected(z)
 }
 
 func (c *Controller) clearSuspicion(z *zone) { z.confirmation.clearSuspicion() }
 
 func (c *Controller) suspicionBegins(z *zone) bool {
-	return z.confirmation.suspectedAt == 0 && z.verdict.State < PartlyEvacuated && c.convicted(z)
+	return z.confirmation.suspectedAt == 0 && z.verdict.State < PartlyEvacuated && c.lossSuspected(z)
 }
 
 func (c *Controller) setSuspected(z *zone) { z.confirmation.suspectedAt = c.now }
 
 func (c *Controller) suspicionCorroborated(z *zone) bool {
 	s := &z.confirmation
-	return s.suspectedAt > 0 && s.corroboratedAt == 0 && c.anotherZoneAnswered(z, s.suspectedAt)
+	return s.suspectedAt > 0 && s.corroboratedAt == 0 && c.anotherZoneResponded(z, s.suspectedAt)
 }
 
 func (c *Controller) setCorroborated(z *zone) { z.confirmation.corroboratedAt = c.now }
--- a/zonehealth/consensus.go
+++ b/zonehealth/consensus.go
@@ -20,13 +20,13 @@
 	slices.SortFunc(adopted, descending)
 	slices.SortFunc(latest, descending)
 	var agreed *Verdict
-	if n := c.fleet.peerVotes(maxVerdictBackers); n > 0 && len(adopted) >= n {
+	if n := c.fleet.limitToPeers(maxVerdictBackers); n > 0 && len(adopted) >= n {
 		agreed = adopted[n-1]
 	}
 	if n := c.requiredVotes(z.outsideZone.reachable); len(latest) >= n && latest[n-1].compare(agreed) > 0 {
 		agreed = latest[n-1]
 	}
-	if agreed == nil || agreed.compare(&z.verdict) <= 0 || agreed.differsInFlapsAlone(&z.verdict) {
+	if agreed == nil || agreed.compare(&z.verdict) <= 0 || agreed.differsOnlyInFlaps(&z.verdict) {
 		return nil
 	}
 	return agreed
--- a/zonehealth/controller.go
+++ b/zonehealth/controller.go
@@ -13,13 +13,13 @@
 	now      Time
 	tickedAt Time
 
-	nodes   []*node // by the caller's index; nil: none is listed
-	avoided int     // nodes with an exclusion
-	zones   []*zone // by name; one that loses its last node stays while there is something to remember
-	fleet   fleetView
-	latency latencyEstimate
-	origin  attemptCounts // fetches from the origin, in time or late
-	load    proxyLoad
+	nodes             []*node // by the caller's index; nil: none is listed
+	excludedNodeCount int     // nodes with an exclusion
+	zones             []*zone // by name; one that loses its last node stays while there is something to remember
+	fleet             fleetView
+	latency           latencyEstimate
+	origin            attemptCounts // fetches from the origin, in time or late
+	load              proxyLoad
 
 	standaloneCounts StandaloneCounts
 	decisions        []Decision
@@ -52,9 +52,9 @@
 	c.tickedAt = c.now
 	c.countOverdue()
 	for _, z := range c.zones {
-		c.judge(z)
+		c.evaluate(z)
 	}
-	c.applyOpenFractions()
+	c.applyServedFractions()
 	for _, z := range c.zones {
 		if c.needsProbe(z) {
 			c.probe(z)
--- a/zonehealth/evacuation.go
+++ b/zonehealth/evacuation.go
@@ -44,7 +44,7 @@
 	c.propose(z, verdict, reason)
 }
 
-func (c *Controller) partEvacuationCompletable(z *zone) bool {
+func (c *Controller) partialEvacuationCompletable(z *zone) bool {
 	return z.verdict.State == PartlyEvacuated && c.othersHaveCapacity(z)
 }
 
@@ -62,7 +62,7 @@
 		}
 		all++
 		if n.zone != z {
-			serving += c.effectiveOpenFraction(n.zone) * c.slowStartFraction(n)
+			serving += c.effectiveServedFraction(n.zone) * c.slowStartFraction(n)
 		}
 	}
 	share := serving / max(all, 1)
@@ -79,7 +79,7 @@
 // anotherZoneServes reports whether another zone with nodes serves keys: the last one is never evacuated.
 func (c *Controller) anotherZoneServes(z *zone) bool {
 	return slices.ContainsFunc(c.zones, func(other *zone) bool {
-		return other != z && other.nodes > 0 && c.effectiveOpenFraction(other) > 0
+		return other != z && other.nodes > 0 && c.effectiveServedFraction(other) > 0
 	})
 }
 
--- a/zonehealth/evidence.go
+++ b/zonehealth/evidence.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	minUnconnectedNodes  = 2              // that refuse connections, for a standalone evacuation of a zone of so many
-	evidenceRecent       = 3 * Second / 2 // the time that votes and decisions are about
-	attemptCountHalfLife = 2 * Second
+	minConnectFailedNodes = 2              // that refuse connections, for a standalone evacuation of a zone of so many
+	evidenceWindow        = 3 * Second / 2 // the time that votes and decisions are about
+	attemptCountHalfLife  = 2 * Second
 )
 
 // attemptCounts are numbers of recent attempts by outcome. They decay by half in attemptCountHalfLife.
@@ -21,24 +21,24 @@
 
 // localEvidence is what this proxy's own attempts tell about a zone.
 type localEvidence struct {
-	answeredAt       Time     // the latest answer
-	inTimeAt         Time     // the latest answer in time
-	unansweredAt     Time     // the latest unanswered attempt
-	runStartedAt     Time     // the first unanswered attempt since the latest answer
-	unansweredRun    int      // unanswered attempts since the latest answer
-	unhealthyNodes   []uint32 // hashes of names of the nodes that did not answer these
-	unconnectedNodes []uint32 // likewise of nodes that refused a connection since one was opened or an answer arrived
-	counts           attemptCounts
+	lastResponseAt     Time     // the latest answer
+	lastInTimeAt       Time     // the latest answer in time
+	lastUnansweredAt   Time     // the latest unanswered attempt
+	runStartedAt       Time     // the first unanswered attempt since the latest answer
+	unansweredRun      int      // unanswered attempts since the latest answer
+	unhealthyNodes     []uint32 // hashes of names of the nodes that did not answer these
+	connectFailedNodes []uint32 // likewise of nodes that refused a connection since one was opened or an answer arrived
+	counts             attemptCounts
 }
 
 func newLocalEvidence(now Time) localEvidence {
 	never := now - distantPast
-	return localEvidence{answeredAt: never, inTimeAt: never, unansweredAt: never}
+	return localEvidence{lastResponseAt: never, lastInTimeAt: never, lastUnansweredAt: never}
 }
 
 // clearRun forgets the unanswered attempts, as after an answer.
 func (e *localEvidence) clearRun() {
-	e.unansweredRun, e.unhealthyNodes, e.unconnectedNodes = 0, e.unhealthyNodes[:0], e.unconnectedNodes[:0]
+	e.unansweredRun, e.unhealthyNodes, e.connectFailedNodes = 0, e.unhealthyNodes[:0], e.connectFailedNodes[:0]
 }
 
 // restart forgets all that is counted, so that what is counted from now on is about a new verdict.
@@ -53,15 +53,15 @@
 		e.runStartedAt = now
 	}
 	e.unansweredRun++
-	e.unansweredAt = now
+	e.lastUnansweredAt = now
 	if len(e.unhealthyNodes) < maxCoveredNodes {
 		e.unhealthyNodes = appendMissing(e.unhealthyNodes, node)
 	}
 }
 
-// addUnconnected notes that a node refused a connection.
-func (e *localEvidence) addUnconnected(node uint32) {
-	if len(e.unconnectedNodes) < minUnconnectedNodes {
-		e.unconnectedNodes = appendMissing(e.unconnectedNodes, node)
+// addConnectFailure notes that a node refused a connection.
+func (e *localEvidence) addConnectFailure(node uint32) {
+	if len(e.connectFailedNodes) < minConnectFailedNodes {
+		e.connectFailedNodes = appendMissing(e.connectFailedNodes, node)
 	}
 }
--- a/zonehealth/fleet.go
+++ b/zonehealth/fleet.go
@@ -39,8 +39,8 @@
 
 func (f *fleetView) hasPeers() bool { return len(f.reachable) > 1 }
 
-// peerVotes is n, or as many as there are reachable peers where these are fewer.
-func (f *fleetView) peerVotes(n int) int { return min(n, len(f.reachable)-1) }
+// limitToPeers is n, or as many as there are reachable peers where these are fewer.
+func (f *fleetView) limitToPeers(n int) int { return min(n, len(f.reachable)-1) }
 
 // quorumView counts the proxies outside a zone or region.
 type quorumView struct {
@@ -75,7 +75,7 @@
 	}
 }
 
-// hasQuorum reports whether this proxy reaches a majority of the proxies that can judge a zone. One that does not may
+// hasQuorum reports whether this proxy reaches a majority of the proxies that can evaluate a zone. One that does not may
 // be cut off itself.
 func (c *Controller) hasQuorum(z *zone) bool {
 	return !c.fleet.catchingUp && z.outsideZone.known >= 2 && 2*z.outsideZone.reachable > z.outsideZone.known
--- a/zonehealth/node.go
+++ b/zonehealth/node.go
@@ -21,7 +21,7 @@
 	inFlight         int  // attempts
 	waitingSince     Time // since when the oldest attempt in flight has no answer, 0: none is in flight
 	overdue          bool // the oldest attempt in flight has been counted as unanswered
-	answeredAt       Time // the latest answer
+	lastResponseAt   Time // the latest answer
 	excludedFraction float64
 	cancelInFlight   bool // as excludedFraction, as last decided
 }
@@ -68,18 +68,18 @@
 func (c *Controller) UpdateNodes(now Time, listed []Node, removed []int) []Decision {
 	c.begin(now)
 	for _, index := range removed {
-		c.unlistNode(index)
+		c.removeNode(index)
 	}
 	for i := range listed {
-		c.listNode(&listed[i])
+		c.addOrUpdateNode(&listed[i])
 	}
 	c.removeUnusedZones()
-	c.applyOpenFractions()
+	c.applyServedFractions()
 	return c.decisions
 }
 
-// unlistNode forgets the node of an index, if one is listed.
-func (c *Controller) unlistNode(index int) {
+// removeNode forgets the node of an index, if one is listed.
+func (c *Controller) removeNode(index int) {
 	n := c.node(index)
 	if n == nil {
 		return
@@ -87,21 +87,21 @@
 	if n.zone != nil {
 		n.zone.nodes--
 	}
-	c.countExclusion(n, 0, false)
+	c.setExclusion(n, 0, false)
 	c.nodes[index] = nil
 }
 
-// listNode adds a node, or updates it where the same one was listed before under its index.
-func (c *Controller) listNode(listed *Node) {
+// addOrUpdateNode adds a node, or updates it where the same one was listed before under its index.
+func (c *Controller) addOrUpdateNode(listed *Node) {
 	for len(c.nodes) <= listed.Index {
 		c.nodes = append(c.nodes, nil)
 	}
 	if n := c.nodes[listed.Index]; n != nil && n.Name != listed.Name {
-		c.unlistNode(listed.Index)
+		c.removeNode(listed.Index)
 	}
 	n := c.nodes[listed.Index]
 	if n == nil {
-		n = &node{hash: NodeHash(listed.Name), answeredAt: c.now - distantPast}
+		n = &node{hash: NodeHash(listed.Name), lastResponseAt: c.now - distantPast}
 		c.nodes[listed.Index] = n
 	}
 	if n.zone != nil {
--- a/zonehealth/override.go
+++ b/zonehealth/override.go
@@ -56,7 +56,7 @@
 	if previous == OverrideOut && override.Mode == OverrideAuto && z.verdict.State == InService {
 		c.rampAfterOverride(z)
 	}
-	c.applyOpenFractions()
+	c.applyServedFractions()
 	return c.decisions
 }
 
--- a/zonehealth/publication.go
+++ b/zonehealth/publication.go
@@ -4,7 +4,7 @@
 
 const (
 	verdictRepeat      = 10 * Second // how long a verdict that the zone is in service is reported
-	unansweredRecent   = Second      // an unhealthy vote needs an unanswered attempt in this time
+	unansweredWindow   = Second      // an unhealthy vote needs an unanswered attempt in this time
 	minOriginFetches   = 1           // decayed count of origin fetches from which on the share of late ones is reported
 	reportTTLIntervals = 3           // for which a report lives,
 	reportTTLMargin    = Second      // and so much longer
@@ -47,12 +47,12 @@
 // vote is the vote of this proxy on a zone.
 func (c *Controller) vote(z *zone) Vote {
 	e := &z.evidence
-	sinceAnswer := c.now - e.answeredAt
+	sinceAnswer := c.now - e.lastResponseAt
 	switch {
 	case sinceAnswer < c.settings.SilenceTimeout,
 		e.unansweredRun == 0 && sinceAnswer < c.settings.SilenceTimeout*3/2:
 		return VoteHealthy
-	case e.unansweredRun >= 1 && c.now-e.unansweredAt < unansweredRecent:
+	case e.unansweredRun >= 1 && c.now-e.lastUnansweredAt < unansweredWindow:
 		return VoteUnhealthy
 	}
 	return NoVote
@@ -64,12 +64,12 @@
 	e.counts.decay(c.now)
 	c.origin.decay(c.now)
 	report := Report{
-		Zone: c.settings.Zone, Vote: c.vote(z), LastAnswerAge: c.now - e.answeredAt, UnansweredRun: e.unansweredRun,
+		Zone: c.settings.Zone, Vote: c.vote(z), LastResponseAge: c.now - e.lastResponseAt, UnansweredRun: e.unansweredRun,
 		InTime: float32(e.counts.inTime), AnsweredLate: float32(e.counts.late), Unanswered: float32(e.counts.unanswered),
 		InFlight: float32(c.load.inFlight), Capacity: float32(c.load.capacity), Verdict: z.verdict,
 	}
 	if fetches := c.origin.inTime + c.origin.late; fetches >= minOriginFetches {
-		report.OriginLateShare = float32(c.origin.late / fetches)
+		report.OriginLateFraction = float32(c.origin.late / fetches)
 	}
 	switch report.Vote {
 	case VoteUnhealthy:
@@ -84,7 +84,7 @@
 func (c *Controller) healthyNodes(z *zone) []uint32 {
 	var hashes []uint32
 	for _, n := range c.nodes {
-		if n != nil && n.zone == z && c.now-n.answeredAt < c.settings.SilenceTimeout && len(hashes) < maxReportedNodes {
+		if n != nil && n.zone == z && c.now-n.lastResponseAt < c.settings.SilenceTimeout && len(hashes) < maxReportedNodes {
 			hashes = append(hashes, n.hash)
 		}
 	}
--- a/zonehealth/ramp.go
+++ b/zonehealth/ramp.go
@@ -10,14 +10,14 @@
 	c.propose(z, z.verdict.successor(Returning, 0), reasonTrials)
 }
 
-// failingProxies is how many proxies have to find attempts unanswered: not one alone, if there are more.
-func (c *Controller) failingProxies() int { return c.fleet.peerVotes(2) }
+// minFailingProxies is how many proxies have to find attempts unanswered: not one alone, if there are more.
+func (c *Controller) minFailingProxies() int { return c.fleet.limitToPeers(2) }
 
 // rampFailing reports whether attempts since this step are unanswered, for more than a quarter of the proxies that
 // made any.
 func (c *Controller) rampFailing(z *zone) bool {
 	v := &z.votes
-	return z.verdict.State == Returning && v.unanswered >= c.failingProxies() && 4*v.unanswered > v.attempted
+	return z.verdict.State == Returning && v.unanswered >= c.minFailingProxies() && 4*v.unanswered > v.attempted
 }
 
 func (c *Controller) rampFailureConfirmed(z *zone) bool {
@@ -51,16 +51,16 @@
 		return false
 	}
 	v, elapsed := &z.votes, c.now-z.verdictAt
-	few := v.fewAttempted()
-	if elapsed < c.settings.RampStepTime || v.unanswered >= c.failingProxies() || v.late > few || v.originLate > few {
+	few := v.toleratedDissent()
+	if elapsed < c.settings.RampStepTime || v.unanswered >= c.minFailingProxies() || v.late > few || v.originLate > few {
 		return false
 	}
-	return (v.inTime >= 1 || elapsed >= maxRampWaitSteps*c.settings.RampStepTime) && c.bearsNextStep(z)
+	return (v.inTime >= 1 || elapsed >= maxRampWaitSteps*c.settings.RampStepTime) && c.canServeNextStep(z)
 }
 
-// bearsNextStep reports whether a zone's nodes bear the share of keys of the next step. The first two steps they
+// canServeNextStep reports whether a zone's nodes bear the share of keys of the next step. The first two steps they
 // always do.
-func (c *Controller) bearsNextStep(z *zone) bool {
+func (c *Controller) canServeNextStep(z *zone) bool {
 	next := 1.0
 	if z.verdict.Step+1 < len(rampFractions) {
 		next = rampFractions[z.verdict.Step+1]
--- a/zonehealth/report.go
+++ b/zonehealth/report.go
@@ -23,26 +23,26 @@
 // Report is the report of one proxy on one zone, which peers receive by gossip. Counts are of attempts, and decay by
 // half in two seconds.
 type Report struct {
-	Zone            string   `msgpack:"z"` // in which the reporting proxy is
-	Vote            Vote     `msgpack:"w"` // its vote
-	LastAnswerAge   Time     `msgpack:"d"`
-	UnansweredRun   int      `msgpack:"r,omitempty"` // attempts in a row that were unanswered since the last answer
-	UnhealthyNodes  []uint32 `msgpack:"i,omitempty"` // hashes of names of the nodes that did not answer these
-	HealthyNodes    []uint32 `msgpack:"a,omitempty"` // hashes of names of nodes that answered within the silence timeout
-	InTime          float32  `msgpack:"o"`           // attempts answered in time
-	AnsweredLate    float32  `msgpack:"l"`           // attempts answered late or with an error
-	Unanswered      float32  `msgpack:"b"`           // unanswered attempts
-	OriginLateShare float32  `msgpack:"g"`           // of its origin fetches the share that is late, 0 to 1
-	InFlight        float32  `msgpack:"y"`           // its attempts in flight at all caches
-	Capacity        float32  `msgpack:"c"`           // how many of these all caches answer in time
-	Verdict         Verdict  `msgpack:"t"`           // verdict on which it acts
-	Proposal        *Verdict `msgpack:"p,omitempty"` // verdict that it proposes, nil: none
+	Zone               string   `msgpack:"z"` // in which the reporting proxy is
+	Vote               Vote     `msgpack:"w"` // its vote
+	LastResponseAge    Time     `msgpack:"d"`
+	UnansweredRun      int      `msgpack:"r,omitempty"` // attempts in a row that were unanswered since the last answer
+	UnhealthyNodes     []uint32 `msgpack:"i,omitempty"` // hashes of names of the nodes that did not answer these
+	HealthyNodes       []uint32 `msgpack:"a,omitempty"` // hashes of names of nodes that answered within the silence timeout
+	InTime             float32  `msgpack:"o"`           // attempts answered in time
+	AnsweredLate       float32  `msgpack:"l"`           // attempts answered late or with an error
+	Unanswered         float32  `msgpack:"b"`           // unanswered attempts
+	OriginLateFraction float32  `msgpack:"g"`           // of its origin fetches the share that is late, 0 to 1
+	InFlight           float32  `msgpack:"y"`           // its attempts in flight at all caches
+	Capacity           float32  `msgpack:"c"`           // how many of these all caches answer in time
+	Verdict            Verdict  `msgpack:"t"`           // verdict on which it acts
+	Proposal           *Verdict `msgpack:"p,omitempty"` // verdict that it proposes, nil: none
 }
 
 // valid reports whether a report of a peer is within the bounds that this version relies on.
 func (v *Report) valid() bool {
 	return len(v.UnhealthyNodes) <= maxCoveredNodes && len(v.HealthyNodes) <= maxCoveredNodes &&
-		v.Vote <= VoteUnhealthy && v.LastAnswerAge >= 0 && v.Verdict.valid() && (v.Proposal == nil || v.Proposal.valid())
+		v.Vote <= VoteUnhealthy && v.LastResponseAge >= 0 && v.Verdict.valid() && (v.Proposal == nil || v.Proposal.valid())
 }
 
 // latestVerdict is the verdict that the reporting proxy acts on, or the one that it proposes if that takes precedence.
@@ -75,8 +75,8 @@
 	}
 	received := z.storeReport(proxy, report, c.now-age, ttl)
 	if received.latestVerdict().compare(&z.verdict) > 0 {
-		c.judge(z)
-		c.applyOpenFractions()
+		c.evaluate(z)
+		c.applyServedFractions()
 	}
 	return c.decisions
 }
--- a/zonehealth/rules.go
+++ b/zonehealth/rules.go
@@ -26,7 +26,7 @@
 	{(*Controller).rampFailureBegins, (*Controller).setRampFailing},
 	// The fleet: the verdicts that follow.
 	{(*Controller).lossConfirmed, (*Controller).evacuate},
-	{(*Controller).partEvacuationCompletable, (*Controller).completeEvacuation},
+	{(*Controller).partialEvacuationCompletable, (*Controller).completeEvacuation},
 	{(*Controller).holdDownOver, (*Controller).startRamp},
 	{(*Controller).rampFailureConfirmed, (*Controller).evacuateAgain},
 	{(*Controller).rampOverloaded, (*Controller).stepBack},
@@ -37,8 +37,8 @@
 // go on for ever.
 const maxRuleApplications = 100
 
-// judge applies rules to a zone until none applies, one without an action does, or a verdict is proposed.
-func (c *Controller) judge(z *zone) {
+// evaluate applies rules to a zone until none applies, one without an action does, or a verdict is proposed.
+func (c *Controller) evaluate(z *zone) {
 	z.proposal = nil
 	for range maxRuleApplications {
 		if !c.applyFirstRule(z) {
--- a/zonehealth/scenario_test.go
+++ b/zonehealth/scenario_test.go
@@ -143,11 +143,11 @@
 	}
 	for s.now < until {
 		s.now = min(s.now+tickInterval, until)
-		s.carryOut(s.controller.Tick(s.now))
+		s.applyDecisions(s.controller.Tick(s.now))
 	}
 }
 
-func (s *scenario) carryOut(decisions []zonehealth.Decision) {
+func (s *scenario) applyDecisions(decisions []zonehealth.Decision) {
 	for _, d := range decisions {
 		switch d.Action {
 		case zonehealth.ExcludeNode:
@@ -179,7 +179,7 @@
 			s.nodes[i].StartedAt = started
 		}
 	}
-	s.carryOut(s.controller.SetNodes(s.now, s.nodes))
+	s.applyDecisions(s.controller.SetNodes(s.now, s.nodes))
 }
 
 func (s *scenario) setFleet(words []string, options map[string]string) {
@@ -250,7 +250,7 @@
 		report.Proposal.RetainedNodes, report.HealthyNodes = report.HealthyNodes, nil
 	}
 	for _, proxy := range strings.Split(words[1], ",") {
-		s.carryOut(s.controller.PeerReport(s.now, proxy, zone, report, 0, reportTTL))
+		s.applyDecisions(s.controller.PeerReport(s.now, proxy, zone, report, 0, reportTTL))
 	}
 }
 
@@ -258,11 +258,11 @@
 func newReport(vote zonehealth.Vote, options map[string]string) zonehealth.Report {
 	number := func(key string) float32 { return float32(testscript.ParseNumber(options[key])) }
 	report := zonehealth.Report{
-		Vote: vote, InTime: number("fine"), AnsweredLate: number("late"), Unanswered: number("lost"), OriginLateShare: number("origin"),
+		Vote: vote, InTime: number("fine"), AnsweredLate: number("late"), Unanswered: number("lost"), OriginLateFraction: number("origin"),
 		Proposal: parseVerdict(options["plan"]),
 	}
 	if vote != zonehealth.VoteHealthy {
-		report.LastAnswerAge = zonehealth.Second
+		report.LastResponseAge = zonehealth.Second
 	}
 	if verdict := parseVerdict(options["stand"]); verdict != nil {
 		report.Verdict = *verdict
@@ -278,7 +278,7 @@
 }
 
 func (s *scenario) setOverride(words []string, options map[string]string) {
-	s.carryOut(s.controller.SetOverride(s.now, zonehealth.Override{
+	s.applyDecisions(s.controller.SetOverride(s.now, zonehealth.Override{
 		Zone: words[0], Mode: zonehealth.OverrideModes[words[1]], Epoch: int64(integer(words[2])), Proxy: "b1", Force: options["force"] != "",
 	}))
 }
--- a/zonehealth/status.go
+++ b/zonehealth/status.go
@@ -35,7 +35,7 @@
 func (c *Controller) status(z *zone) ZoneStatus {
 	v := &z.votes
 	return ZoneStatus{
-		Name: z.name, Nodes: z.nodes, OpenShare: z.openFraction, Verdict: z.verdict,
+		Name: z.name, Nodes: z.nodes, OpenShare: z.servedFraction, Verdict: z.verdict,
 		Standalone:    z.standalone.verdict.State != InService,
 		ServedLocally: z.verdict.State != InService && c.servedLocally(z),
 		Override:      z.override, UnhealthyVotes: v.unhealthy, HealthyVotes: v.healthy, UnhealthyVoteZones: len(v.unhealthyVoterZones),
--- a/zonehealth/verdict.go
+++ b/zonehealth/verdict.go
@@ -67,14 +67,14 @@
 	return cmp.Or(cmp.Compare(s.Epoch, other.Epoch), cmp.Compare(s.State, other.State), -cmp.Compare(s.Step, other.Step))
 }
 
-// differsInFlapsAlone reports whether two verdicts on a zone in service have the same epoch. Their flaps lapse by the time
+// differsOnlyInFlaps reports whether two verdicts on a zone in service have the same epoch. Their flaps lapse by the time
 // of each proxy, so that to follow a peer in them would take back what has lapsed here.
-func (s *Verdict) differsInFlapsAlone(other *Verdict) bool {
+func (s *Verdict) differsOnlyInFlaps(other *Verdict) bool {
 	return s.State == InService && s.comparePrecedence(other) == 0
 }
 
-// openFraction is the share of its keys that the zone serves, 0 to 1.
-func (s *Verdict) openFraction() float64 {
+// servedFraction is the share of its keys that the zone serves, 0 to 1.
+func (s *Verdict) servedFraction() float64 {
 	switch s.State {
 	case InService:
 		return 1
--- a/zonehealth/votes.go
+++ b/zonehealth/votes.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	minCountedAttempts = 0.4 // decayed count from which on a proxy counts as one that has attempted a zone
-	maxOriginLateShare = 0.3 // of late origin fetches, above which the origin counts as late for a proxy
-	vetoFactor         = 3   // unhealthy votes that it takes for each healthy vote
+	minCountedAttempts         = 0.4 // decayed count from which on a proxy counts as one that has attempted a zone
+	maxOriginLateFraction      = 0.3 // of late origin fetches, above which the origin counts as late for a proxy
+	minUnhealthyPerHealthyVote = 3   // unhealthy votes that it takes for each healthy vote
 )
 
 // voteCount sums up the reports on a zone. Proxies are counted and not the attempts that they report, so that a proxy
 // that exaggerates weighs no more than one.
 type voteCount struct {
 	unhealthy, healthy  int
-	inTimeAt            Time     // the latest answer in time that any proxy received
+	lastInTimeAt        Time     // the latest answer in time that any proxy received
 	unhealthyVoters     []string // names
 	unhealthyVoterZones []string
 	unhealthyNodes      []uint32
@@ -30,9 +30,9 @@
 }
 
 // reset empties the count. It keeps the memory, and the latest answer in time.
-func (v *voteCount) reset(inTimeAt Time) {
+func (v *voteCount) reset(lastInTimeAt Time) {
 	*v = voteCount{
-		inTimeAt: inTimeAt, unhealthyVoters: v.unhealthyVoters[:0], unhealthyVoterZones: v.unhealthyVoterZones[:0],
+		lastInTimeAt: lastInTimeAt, unhealthyVoters: v.unhealthyVoters[:0], unhealthyVoterZones: v.unhealthyVoterZones[:0],
 		unhealthyNodes: v.unhealthyNodes[:0], healthyNodes: v.healthyNodes[:0],
 	}
 }
@@ -44,7 +44,7 @@
 	v.inTime += countIf(inTime >= minCountedAttempts && inTime > late+unanswered)
 	v.unanswered += countIf(unanswered >= minCountedAttempts && unanswered > (inTime+late)/3)
 	v.late += countIf(late >= minCountedAttempts && late > inTime/3)
-	v.originLate += countIf(report.OriginLateShare > maxOriginLateShare)
+	v.originLate += countIf(report.OriginLateFraction > maxOriginLateFraction)
 }
 
 // addVote counts the vote of a proxy in a zone.
@@ -61,12 +61,12 @@
 	}
 }
 
-// fewAttempted is how many of the proxies that attempted the zone may find something else than the others.
-func (v *voteCount) fewAttempted() int { return max(1, v.attempted/4) }
+// toleratedDissent is how many of the proxies that attempted the zone may find something else than the others.
+func (v *voteCount) toleratedDissent() int { return max(1, v.attempted/4) }
 
 // countVotes sums up the fresh reports of reachable peers and of this proxy. It drops expired reports.
 func (c *Controller) countVotes(z *zone) {
-	z.votes.reset(z.evidence.inTimeAt)
+	z.votes.reset(z.evidence.lastInTimeAt)
 	z.reports = slices.DeleteFunc(z.reports, func(r *receivedReport) bool { return r.expired(c.now) })
 	for r := range c.reachableReports(z) {
 		if r.fresh(c.now) {
@@ -92,7 +92,7 @@
 	}
 	if proxy != c.settings.ProxyName && report.InTime > report.AnsweredLate {
 		// The age of a report does not count the time on the way.
-		z.votes.inTimeAt = max(z.votes.inTimeAt, at-report.LastAnswerAge-maxGossipDelay)
+		z.votes.lastInTimeAt = max(z.votes.lastInTimeAt, at-report.LastResponseAge-maxGossipDelay)
 	}
 	z.votes.addVote(proxy, proxyZone, report)
 }
@@ -123,19 +123,19 @@
 		sum.unhealthyNodes >= min(sum.nodes/2+1, maxCoveredNodes)
 }
 
-// convicted reports whether there are enough unhealthy votes on a zone, by itself or together with its region.
-func (c *Controller) convicted(z *zone) bool {
+// lossSuspected reports whether there are enough unhealthy votes on a zone, by itself or together with its region.
+func (c *Controller) lossSuspected(z *zone) bool {
 	v := &z.votes
-	if !c.hasQuorum(z) || z.nodes == 0 || v.unhealthy == 0 || v.unhealthy < vetoFactor*v.healthy {
+	if !c.hasQuorum(z) || z.nodes == 0 || v.unhealthy == 0 || v.unhealthy < minUnhealthyPerHealthyVote*v.healthy {
 		return false
 	}
 	sum := evidenceSum{v.unhealthy, len(v.unhealthyVoterZones), len(v.unhealthyNodes), z.nodes}
-	return c.suffices(sum, z.outsideZone) || z.region != nil && c.regionConvicted(z)
+	return c.suffices(sum, z.outsideZone) || z.region != nil && c.regionLossSuspected(z)
 }
 
-// regionConvicted counts the unhealthy votes on all zones of a zone's region together, provided that each of the
+// regionLossSuspected counts the unhealthy votes on all zones of a zone's region together, provided that each of the
 // zones is evacuated or has unhealthy votes and no healthy one.
-func (c *Controller) regionConvicted(z *zone) bool {
+func (c *Controller) regionLossSuspected(z *zone) bool {
 	voters := map[string]bool{}
 	var voterZones []string
 	var sum evidenceSum
@@ -162,11 +162,11 @@
 	return c.suffices(sum, z.outsideRegion)
 }
 
-// anotherZoneAnswered reports whether another zone has answered in time since an instant, so that the fault is not this
+// anotherZoneResponded reports whether another zone has answered in time since an instant, so that the fault is not this
 // proxy's or everybody's: where all zones slow down at once, one seems silent a little before the others do.
-func (c *Controller) anotherZoneAnswered(z *zone, since Time) bool {
+func (c *Controller) anotherZoneResponded(z *zone, since Time) bool {
 	return slices.ContainsFunc(c.zones, func(other *zone) bool {
-		return other != z && other.nodes > 0 && other.verdict.State < PartlyEvacuated && other.votes.inTimeAt > since
+		return other != z && other.nodes > 0 && other.verdict.State < PartlyEvacuated && other.votes.lastInTimeAt > since
 	})
 }
 
--- a/zonehealth/wire_golden_test.go
+++ b/zonehealth/wire_golden_test.go
@@ -14,9 +14,9 @@
 	verdict := zonehealth.Verdict{Epoch: 70000, State: zonehealth.PartlyEvacuated, Step: 3, Flaps: 2, RetainedNodes: []uint32{0x01020304, 5}}
 	goldentest.Msgpack(t, "voices.golden", []goldentest.Value{
 		{Name: "voice-full", Full: true, Value: &zonehealth.Report{
-			Zone: "zone-1", Vote: zonehealth.VoteUnhealthy, LastAnswerAge: 4500, UnansweredRun: 6,
+			Zone: "zone-1", Vote: zonehealth.VoteUnhealthy, LastResponseAge: 4500, UnansweredRun: 6,
 			UnhealthyNodes: []uint32{0xa1a2a3a4, 7}, HealthyNodes: []uint32{0xb1b2b3b4}, InTime: 1.5, AnsweredLate: 2.5, Unanswered: 3.5,
-			OriginLateShare: 0.25, InFlight: 10.5, Capacity: 20.5, Verdict: verdict,
+			OriginLateFraction: 0.25, InFlight: 10.5, Capacity: 20.5, Verdict: verdict,
 			Proposal: &zonehealth.Verdict{Epoch: 70001, State: zonehealth.Evacuated, Step: 1, Flaps: 4, RetainedNodes: []uint32{9}},
 		}},
 		{Name: "voice-empty", Value: &zonehealth.Report{}},
--- a/zonehealth/zone.go
+++ b/zonehealth/zone.go
@@ -11,10 +11,10 @@
 
 // zone is all that a controller knows of one zone.
 type zone struct {
-	name         string
-	region       *Region // nil: none
-	nodes        int     // that are listed
-	openFraction float64 // share of its keys that it serves, as last decided
+	name           string
+	region         *Region // nil: none
+	nodes          int     // that are listed
+	servedFraction float64 // share of its keys that it serves, as last decided
 
 	evidence      localEvidence
 	reports       []*receivedReport // by name of the proxy; the latest of each that has not expired
@@ -35,7 +35,7 @@
 func newZone(name string, now Time) *zone {
 	never := now - distantPast
 	return &zone{
-		name: name, openFraction: 1, evidence: newLocalEvidence(now), verdictAt: now, evacuatedAt: never,
+		name: name, servedFraction: 1, evidence: newLocalEvidence(now), verdictAt: now, evacuatedAt: never,
 		standalone: standaloneVerdict{probedAt: never}, publication: publication{lastAt: never},
 	}
 }
