--- a/zonehealth/confirmation.go
+++ b/zonehealth/confirmation.go
@@ -1,11 +1,11 @@
 package zonehealth
 
-// confirmation holds since when the conditions of a verdict have been met. Each has to last for the confirmation time, and is 0
-// while it is not met.
+// confirmation holds the times since which the conditions of a verdict have been met, 0 for a condition that is not met.
+// A verdict is proposed after its condition has been met for the confirmation time.
 type confirmation struct {
-	suspectedAt    Time // there are enough unhealthy votes
-	corroboratedAt Time // another zone is known to have answered after that
-	rampFailingAt  Time // attempts of a recovery ramp are unanswered
+	suspectedAt    Time // since when there have been enough unhealthy votes
+	corroboratedAt Time // since when another zone is known to have responded after suspectedAt
+	rampFailingAt  Time // since when attempts of a recovery ramp have been unanswered
 }
 
 func (s *confirmation) clearSuspicion() { s.suspectedAt, s.corroboratedAt = 0, 0 }
--- a/zonehealth/consensus.go
+++ b/zonehealth/consensus.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// peersAgree reports whether enough peers act on, or propose, a verdict that takes precedence over this proxy's.
+// peersAgree reports whether enough peers act on, or propose, a verdict that takes precedence over the one on which this
+// proxy acts.
 func (c *Controller) peersAgree(z *zone) bool { return c.agreedVerdict(z) != nil }
 
 func (c *Controller) followPeers(z *zone) { c.adopt(z, *c.agreedVerdict(z), "following other proxies") }
 
-// agreedVerdict returns the verdict of the highest precedence that maxVerdictBackers peers act on (one, where only
-// one is reachable) or requiredVotes peers propose, nil if it does not take precedence over this proxy's. One proxy
-// that is faulty moves no other.
+// agreedVerdict returns the verdict with the highest precedence that either maxVerdictBackers peers act on (one peer if
+// only one is reachable) or requiredVotes peers propose. It returns nil if that verdict does not take precedence over
+// the one on which this proxy acts. The thresholds keep a single faulty proxy from changing the verdict of others.
 func (c *Controller) agreedVerdict(z *zone) *Verdict {
 	adopted, latest := c.adoptedVerdicts[:0], c.latestVerdicts[:0]
 	for r := range c.reachableReports(z) {
@@ -32,8 +33,9 @@
 	return agreed
 }
 
-// propose adopts a verdict if enough peers propose it or a later one, and else makes it this proxy's proposal.
-// Without that, one or two proxies that reports reach late would act apart from all others.
+// propose adopts a verdict if enough peers propose it or one of higher precedence. Otherwise it makes the verdict this
+// proxy's proposal. If verdicts were adopted at once, one or two proxies that receive reports late would act differently
+// from all others.
 func (c *Controller) propose(z *zone, verdict Verdict, reason string) {
 	backers := 1
 	for r := range c.reachableReports(z) {
@@ -46,13 +48,13 @@
 	z.proposal = &verdict
 }
 
-// adopt makes a verdict the one on which this proxy acts. It replaces what this proxy found standalone.
+// adopt makes a verdict the one on which this proxy acts. It discards the standalone verdict of this proxy.
 func (c *Controller) adopt(z *zone, verdict Verdict, reason string) {
 	previous := z.verdict.State
 	verdict.RetainedNodes = slices.Clone(verdict.RetainedNodes)
 	z.verdict, z.verdictAt, z.confirmation = verdict, c.now, confirmation{}
 	z.standalone.verdict = Verdict{}
-	z.evidence.counts = attemptCounts{at: c.now} // what is counted from now on is about this verdict
+	z.evidence.counts = attemptCounts{at: c.now} // only attempts under the new verdict are counted
 	if verdict.State >= PartlyEvacuated {
 		z.evacuatedAt = c.now
 	}
--- a/zonehealth/votes.go
+++ b/zonehealth/votes.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	minCountedAttempts         = 0.4 // decayed count from which on a proxy counts as one that has attempted a zone
-	maxOriginLateFraction      = 0.3 // of late origin fetches, above which the origin counts as late for a proxy
-	minUnhealthyPerHealthyVote = 3   // unhealthy votes that it takes for each healthy vote
+	minCountedAttempts         = 0.4 // minimum decayed count of attempts for a proxy to be counted
+	maxOriginLateFraction      = 0.3 // fraction of late origin fetches above which the origin counts as late for a proxy
+	minUnhealthyPerHealthyVote = 3   // unhealthy votes required for each healthy vote
 )
 
-// voteCount sums up the reports on a zone. Proxies are counted and not the attempts that they report, so that a proxy
-// that exaggerates weighs no more than one.
+// voteCount summarizes the reports on a zone. It counts proxies rather than their attempts, so that a proxy that reports
+// too many attempts has no more weight than any other.
 type voteCount struct {
 	unhealthy, healthy  int
-	lastInTimeAt        Time     // the latest answer in time that any proxy received
-	unhealthyVoters     []string // names
-	unhealthyVoterZones []string
-	unhealthyNodes      []uint32
-	healthyNodes        []uint32 // without those that are unhealthy to others; sorted
-
-	// Of the proxies that act on the same verdict:
-	attempted  int // that attempted the zone under it
+	lastInTimeAt        Time     // time of the latest response in time that any proxy received
+	unhealthyVoters     []string // names of the proxies with an unhealthy vote
+	unhealthyVoterZones []string // their zones
+	unhealthyNodes      []uint32 // hashes of node names
+	healthyNodes        []uint32 // hashes of node names, without those in unhealthyNodes; sorted
+
+	// Numbers of proxies, among those that act on the same verdict as this proxy.
+	attempted  int // with attempts in the zone under this verdict
 	inTime     int // with a majority of their attempts answered in time
-	unanswered int // with a quarter or more of their attempts unanswered
-	late       int // with more late answers than a third of those in time
-	originLate int // with late origin fetches
+	unanswered int // with more than a quarter of their attempts unanswered
+	late       int // with more than a third as many late responses as responses in time
+	originLate int // for which the origin is late
 }
 
-// reset empties the count. It keeps the memory, and the latest answer in time.
+// reset sets all counts to zero and keeps the allocated slices. The parameter is the new value of lastInTimeAt.
 func (v *voteCount) reset(lastInTimeAt Time) {
 	*v = voteCount{
 		lastInTimeAt: lastInTimeAt, unhealthyVoters: v.unhealthyVoters[:0], unhealthyVoterZones: v.unhealthyVoterZones[:0],
@@ -37,7 +37,7 @@
 	}
 }
 
-// addAttempts counts a report's attempts under the verdict on which this proxy acts.
+// addAttempts adds the attempt counts of a report under the verdict on which this proxy acts.
 func (v *voteCount) addAttempts(report *Report) {
 	inTime, late, unanswered := report.InTime, report.AnsweredLate, report.Unanswered
 	v.attempted += countIf(inTime+late+unanswered >= minCountedAttempts)
@@ -47,7 +47,7 @@
 	v.originLate += countIf(report.OriginLateFraction > maxOriginLateFraction)
 }
 
-// addVote counts the vote of a proxy in a zone.
+// addVote adds the vote of a report, which was sent by the named proxy in proxyZone.
 func (v *voteCount) addVote(proxy, proxyZone string, report *Report) {
 	switch report.Vote {
 	case VoteHealthy:
@@ -61,10 +61,11 @@
 	}
 }
 
-// toleratedDissent is how many of the proxies that attempted the zone may find something else than the others.
+// toleratedDissent returns the number of proxies with attempts in the zone whose deviating results are ignored: a quarter
+// of them, at least one.
 func (v *voteCount) toleratedDissent() int { return max(1, v.attempted/4) }
 
-// countVotes sums up the fresh reports of reachable peers and of this proxy. It drops expired reports.
+// countVotes recounts the fresh reports of reachable peers and of this proxy. It drops expired reports.
 func (c *Controller) countVotes(z *zone) {
 	z.votes.reset(z.evidence.lastInTimeAt)
 	z.reports = slices.DeleteFunc(z.reports, func(r *receivedReport) bool { return r.expired(c.now) })
@@ -81,8 +82,8 @@
 	slices.Sort(z.votes.healthyNodes)
 }
 
-// countReport counts the report of a proxy, written at an instant. A proxy in the zone itself has no vote: it may be
-// cut off together with the zone's nodes.
+// countReport adds the report of a proxy in proxyZone, written at the given time. The vote of a proxy in the zone itself
+// is not counted, because the proxy may be cut off together with the nodes of the zone.
 func (c *Controller) countReport(z *zone, proxy, proxyZone string, at Time, report *Report) {
 	if report.Verdict.compare(&z.verdict) == 0 {
 		z.votes.addAttempts(report)
@@ -91,13 +92,13 @@
 		return
 	}
 	if proxy != c.settings.ProxyName && report.InTime > report.AnsweredLate {
-		// The age of a report does not count the time on the way.
+		// The age of a report does not include its transmission time.
 		z.votes.lastInTimeAt = max(z.votes.lastInTimeAt, at-report.LastResponseAge-maxGossipDelay)
 	}
 	z.votes.addVote(proxy, proxyZone, report)
 }
 
-// reachableReports are the reports of reachable peers, by name of the proxy.
+// reachableReports iterates over the reports of reachable peers, sorted by proxy name.
 func (c *Controller) reachableReports(z *zone) iter.Seq[*receivedReport] {
 	return func(yield func(*receivedReport) bool) {
 		for _, r := range z.reports {
@@ -108,22 +109,22 @@
 	}
 }
 
-// evidenceSum is what is compared with the thresholds of a conviction, of one zone or of a whole region.
+// evidenceSum is the evidence against one zone or a whole region, which is compared with the thresholds of a suspicion.
 type evidenceSum struct {
-	voters         int
-	voterZones     int
+	voters         int // proxies with an unhealthy vote
+	voterZones     int // number of zones of these proxies
 	unhealthyNodes int
 	nodes          int
 }
 
-// suffices reports whether evidence from the proxies of a quorum view convicts: from enough proxies, from two zones
-// where the proxies are in two, on a majority of the nodes.
+// suffices reports whether the evidence meets the thresholds: votes from enough of the proxies in the quorum view, from
+// at least two zones if these proxies are in more than one, on a majority of the nodes.
 func (c *Controller) suffices(sum evidenceSum, view quorumView) bool {
 	return sum.voters >= c.requiredVotes(view.reachable) && sum.voterZones >= min(2, view.zones) &&
 		sum.unhealthyNodes >= min(sum.nodes/2+1, maxCoveredNodes)
 }
 
-// lossSuspected reports whether there are enough unhealthy votes on a zone, by itself or together with its region.
+// lossSuspected reports whether there are enough unhealthy votes on a zone, either for the zone alone or for its region.
 func (c *Controller) lossSuspected(z *zone) bool {
 	v := &z.votes
 	if !c.hasQuorum(z) || z.nodes == 0 || v.unhealthy == 0 || v.unhealthy < minUnhealthyPerHealthyVote*v.healthy {
@@ -133,8 +134,8 @@
 	return c.suffices(sum, z.outsideZone) || z.region != nil && c.regionLossSuspected(z)
 }
 
-// regionLossSuspected counts the unhealthy votes on all zones of a zone's region together, provided that each of the
-// zones is evacuated or has unhealthy votes and no healthy one.
+// regionLossSuspected reports whether there are enough unhealthy votes on all zones of a zone's region together. Each of
+// these zones must be evacuated, or have unhealthy and no healthy votes.
 func (c *Controller) regionLossSuspected(z *zone) bool {
 	voters := map[string]bool{}
 	var voterZones []string
@@ -162,8 +163,9 @@
 	return c.suffices(sum, z.outsideRegion)
 }
 
-// anotherZoneResponded reports whether another zone has answered in time since an instant, so that the fault is not this
-// proxy's or everybody's: where all zones slow down at once, one seems silent a little before the others do.
+// anotherZoneResponded reports whether another zone has responded in time since the given time. If not, the fault may be
+// in this proxy or affect all zones: when all zones slow down at once, one of them appears silent slightly earlier than
+// the others.
 func (c *Controller) anotherZoneResponded(z *zone, since Time) bool {
 	return slices.ContainsFunc(c.zones, func(other *zone) bool {
 		return other != z && other.nodes > 0 && other.verdict.State < PartlyEvacuated && other.votes.lastInTimeAt > since
