--- a/zonehealth/rules.go
+++ b/zonehealth/rules.go
@@ -1,30 +1,30 @@
 package zonehealth
 
-// rule is one step of the judgement of a zone. An action changes the verdict or an instant; a rule without one ends the
-// judgement.
+// rule is a condition on a zone with the action to take if it is true. An action changes the verdict, a timestamp or
+// other state of the zone. A rule without an action ends the evaluation of the zone.
 type rule struct {
 	applies func(c *Controller, z *zone) bool
 	act     func(c *Controller, z *zone)
 }
 
-// rules are gone through in this order.
+// rules are checked in this order, from the first rule again after each action.
 var rules = []rule{
 	{(*Controller).overrideHolds, nil},
 	{(*Controller).peersAgree, (*Controller).followPeers},
 	{(*Controller).flapsExpired, (*Controller).clearFlaps},
-	// This proxy by itself.
+	// Standalone decisions of this proxy.
 	{(*Controller).standaloneLost, (*Controller).evacuateStandalone},
 	{(*Controller).standaloneHoldDownOver, (*Controller).startStandaloneRamp},
 	{(*Controller).standaloneTrialsFail, (*Controller).evacuateStandalone},
 	{(*Controller).standaloneStepDone, (*Controller).advanceStandaloneRamp},
 	{(*Controller).lacksQuorum, nil},
-	// The fleet: what there are votes for, and since when.
+	// Decisions of the fleet: the conditions of a verdict, and since when they have been met.
 	{(*Controller).suspicionOver, (*Controller).clearSuspicion},
 	{(*Controller).suspicionBegins, (*Controller).setSuspected},
 	{(*Controller).suspicionCorroborated, (*Controller).setCorroborated},
 	{(*Controller).rampFailureOver, (*Controller).clearRampFailure},
 	{(*Controller).rampFailureBegins, (*Controller).setRampFailing},
-	// The fleet: the verdicts that follow.
+	// Decisions of the fleet: the resulting verdicts.
 	{(*Controller).lossConfirmed, (*Controller).evacuate},
 	{(*Controller).partialEvacuationCompletable, (*Controller).completeEvacuation},
 	{(*Controller).holdDownOver, (*Controller).startRamp},
@@ -33,11 +33,11 @@
 	{(*Controller).rampStepDone, (*Controller).stepForward},
 }
 
-// maxRuleApplications bounds the judgement of a zone in one tick. It takes a few; two rules that undo each other would
-// go on for ever.
+// maxRuleApplications is the maximum number of actions in one evaluation of a zone. An evaluation usually takes a few;
+// without the limit, two rules that undo each other would loop forever.
 const maxRuleApplications = 100
 
-// evaluate applies rules to a zone until none applies, one without an action does, or a verdict is proposed.
+// evaluate applies rules to a zone until no rule applies, a rule without an action applies, or a verdict is proposed.
 func (c *Controller) evaluate(z *zone) {
 	z.proposal = nil
 	for range maxRuleApplications {
@@ -45,10 +45,10 @@
 			return
 		}
 	}
-	c.log("zone %s: judging does not come to an end, and goes on with the next tick", z.name)
+	c.log("zone %s: the rules did not settle; evaluation continues with the next tick", z.name)
 }
 
-// applyFirstRule reports whether it has changed something that the rules have to be gone through again for.
+// applyFirstRule applies the first rule whose condition is true. It reports whether the rules must be checked again.
 func (c *Controller) applyFirstRule(z *zone) bool {
 	c.countVotes(z)
 	for i := range rules {
--- a/zonehealth/set.go
+++ b/zonehealth/set.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// appendMissing appends an element that the slice does not contain.
+// appendMissing appends an element if the slice does not contain it.
 func appendMissing[T comparable](all []T, element T) []T {
 	if slices.Contains(all, element) {
 		return all
@@ -10,7 +10,7 @@
 	return append(all, element)
 }
 
-// union appends the elements of b that a does not contain.
+// union appends to a the elements of b that a does not contain.
 func union(a, b []uint32) []uint32 {
 	for _, element := range b {
 		a = appendMissing(a, element)
--- a/zonehealth/settings.go
+++ b/zonehealth/settings.go
@@ -1,31 +1,40 @@
 package zonehealth
 
-// Settings are the settings of a controller, fixed at its start.
+// Settings are the settings of a controller. They do not change after [New].
 type Settings struct {
-	ProxyName, Zone          string // name of this proxy, and its zone, "" where that is not known
-	Regions                  []Region
-	ShortestObjective        Time    // the shortest latency objective of all routes
-	SilenceTimeout           Time    // silence timeout: no answer from a zone for so long, with unanswered attempts, is an unhealthy vote
-	VoteShare                float64 // share (0 to 1] of the reachable proxies outside a zone that have to vote against it, two at least
-	ConfirmationTime         Time    // confirmation time of a suspicion, in which the votes of proxies that get answers arrive
-	HoldDownTime             Time    // hold-down time of an evacuated zone that does not flap
-	MaxHoldDownTime          Time    // the longest hold-down time of a zone that flaps
-	RampStepTime             Time    // minimum time between two steps of the recovery ramp
-	SlowStartTime            Time    // slow-start time of a node after its start
-	SlowStartInitialFraction float64 // share (0 to 1] of its work that a node bears at the beginning of its slow start
-	WithoutPeers             bool    // there are no peers: the fleet's members are ignored
-	StandaloneEnabled        bool    // without peers, or cut off from most of them, evacuate zones standalone
+	ProxyName, Zone   string // name of this proxy, and its zone, "" if the zone is unknown
+	Regions           []Region
+	ShortestObjective Time // shortest latency objective of all routes
+	// SilenceTimeout is the time without a response from a zone, with unanswered attempts, that leads to an unhealthy
+	// vote.
+	SilenceTimeout Time
+	// VoteShare is the fraction (0 to 1] of the reachable proxies outside a zone whose unhealthy votes are required for
+	// its evacuation. At least two votes are required.
+	VoteShare float64
+	// ConfirmationTime is the time for which a zone must be suspected before it is evacuated. In this time the votes of
+	// proxies that receive responses from the zone arrive.
+	ConfirmationTime Time
+	HoldDownTime     Time // hold-down time of an evacuated zone that does not flap
+	MaxHoldDownTime  Time // maximum hold-down time of a zone that flaps
+	RampStepTime     Time // minimum time between two steps of the recovery ramp
+	SlowStartTime    Time // duration of the slow start of a node after its start
+	// SlowStartInitialFraction is the fraction (0 to 1] of its normal load that a node sustains at the beginning of its
+	// slow start.
+	SlowStartInitialFraction float64
+	WithoutPeers             bool // there are no peers: SetFleet has no effect
+	StandaloneEnabled        bool // zones may be evacuated standalone
 }
 
-// Region is a group of zones that may be lost together. A zone is in one region at most.
+// Region is a group of zones that may be lost together. A zone is in at most one region.
 type Region struct {
 	Name  string
 	Zones []string
 }
 
-// ZonesNamed returns the zones that a name stands for: those of the region of that name, else the zone itself.
-func (t *Settings) ZonesNamed(name string) []string {
-	for _, region := range t.Regions {
+// ZonesNamed returns the zones of the region with the given name. If there is no such region, it returns the name itself
+// as the only zone.
+func (s *Settings) ZonesNamed(name string) []string {
+	for _, region := range s.Regions {
 		if region.Name == name {
 			return region.Zones
 		}
--- a/zonehealth/time.go
+++ b/zonehealth/time.go
@@ -6,5 +6,5 @@
 // Second is one second in units of Time.
 const Second = Time(10000)
 
-// distantPast is how far before the present an event is placed that has never happened.
+// distantPast is the age that is assumed for the latest event of a kind that has never happened.
 const distantPast = 1000 * Second
--- a/zonehealth/zone.go
+++ b/zonehealth/zone.go
@@ -6,29 +6,29 @@
 	"strings"
 )
 
-// maxZones bounds the zones that are judged. The nodes of further zones are in service whatever happens to their zone.
+// maxZones is the maximum number of zones that are evaluated. The nodes of further zones always stay in service.
 const maxZones = 64
 
-// zone is all that a controller knows of one zone.
+// zone is the state of a controller for one zone.
 type zone struct {
 	name           string
-	region         *Region // nil: none
-	nodes          int     // that are listed
-	servedFraction float64 // share of its keys that it serves, as last decided
+	region         *Region // nil if the zone is in no region
+	nodes          int     // number of listed nodes
+	servedFraction float64 // fraction of its keys that the zone serves, 0 to 1, as last decided
 
 	evidence      localEvidence
-	reports       []*receivedReport // by name of the proxy; the latest of each that has not expired
+	reports       []*receivedReport // the latest report of each proxy that has not expired, sorted by proxy name
 	outsideZone   quorumView
 	outsideRegion quorumView
 	votes         voteCount
 
-	verdict      Verdict // on which this proxy acts
+	verdict      Verdict // the verdict on which this proxy acts
 	verdictAt    Time
-	evacuatedAt  Time     // the latest evacuation, of a part or all
-	proposal     *Verdict // nil: none
+	evacuatedAt  Time     // time of the latest partial or complete evacuation
+	proposal     *Verdict // nil if this proxy proposes no verdict
 	confirmation confirmation
 	standalone   standaloneVerdict
-	override     Override // of epoch 0: there is none
+	override     Override // epoch 0 if there is none
 	publication  publication
 }
 
@@ -42,7 +42,8 @@
 
 func compareZoneName(z *zone, name string) int { return cmp.Compare(z.name, name) }
 
-// findOrAddZone returns nil for the name "", and for a new zone where there are maxZones.
+// findOrAddZone returns the zone with the given name, and adds it if it does not exist. It returns nil for the name "",
+// and for a new zone if there are already maxZones.
 func (c *Controller) findOrAddZone(name string) *zone {
 	i, found := slices.BinarySearchFunc(c.zones, name, compareZoneName)
 	if found {
@@ -62,14 +63,14 @@
 	return z
 }
 
-// removeUnusedZones forgets the zones without nodes of which there is nothing to remember.
+// removeUnusedZones removes the zones in service that have no nodes, no override and no reports.
 func (c *Controller) removeUnusedZones() {
 	c.zones = slices.DeleteFunc(c.zones, func(z *zone) bool {
 		return z.nodes == 0 && z.verdict.State == InService && z.override.Epoch == 0 && len(z.reports) == 0
 	})
 }
 
-// storeReport replaces the report of a proxy.
+// storeReport stores the report of a proxy in place of its previous one.
 func (z *zone) storeReport(proxy string, report Report, at, ttl Time) *receivedReport {
 	compareProxy := func(r *receivedReport, name string) int { return cmp.Compare(r.proxy, name) }
 	i, found := slices.BinarySearchFunc(z.reports, proxy, compareProxy)
@@ -80,7 +81,7 @@
 	return z.reports[i]
 }
 
-// MissingZone returns the first zone of a region that has no node, "" if there is none.
+// MissingZone returns the first zone in the configured regions that has no node, or "" if there is none.
 func (c *Controller) MissingZone() string {
 	for _, region := range c.settings.Regions {
 		for _, name := range region.Zones {
