--- a/zonehealth/attempts.go
+++ b/zonehealth/attempts.go
@@ -1,6 +1,6 @@
 package zonehealth
 
-// AttemptSent reports that an attempt was sent to the node of an index.
+// AttemptSent records that an attempt was sent to the node with the given index.
 func (c *Controller) AttemptSent(now Time, index int) {
 	if n := c.node(index); n != nil {
 		if n.inFlight++; n.inFlight == 1 {
@@ -9,8 +9,8 @@
 	}
 }
 
-// AttemptFinished reports the outcome of an attempt that was reported by AttemptSent, and the time since then. Decisions that follow
-// from it are returned by the next Tick.
+// AttemptFinished records the outcome of an attempt that was recorded by AttemptSent, and the time elapsed since it was
+// sent. The resulting decisions are returned by the next Tick.
 func (c *Controller) AttemptFinished(now Time, index int, outcome Outcome, elapsed Time) {
 	n := c.node(index)
 	if n == nil {
@@ -50,33 +50,34 @@
 	if outcome == ConnectFailed {
 		e.addConnectFailure(n.hash)
 	}
-	if outcome == Cancelled && !n.overdue && elapsed < c.overdue() {
-		return // cancelled by its client or for want of time, which is no evidence about the node
+	if outcome == Cancelled && !n.overdue && elapsed < c.overdueTime() {
+		return // cancelled by its client or at its deadline, which is no evidence about the node
 	}
 	e.counts.unanswered++
-	if !n.overdue { // else it was counted when it became overdue
+	if !n.overdue { // an overdue attempt was counted when it became overdue
 		e.addUnanswered(n.hash, now)
 	}
 }
 
-// overdue is the time after which an attempt counts as unanswered.
-func (c *Controller) overdue() Time { return c.latency.overdue(c.settings.ShortestObjective) }
+// overdueTime returns the time after which an attempt counts as unanswered.
+func (c *Controller) overdueTime() Time { return c.latency.overdueTime(c.settings.ShortestObjective) }
 
-// ConnectionOpened reports that a new connection to a node was opened: its machine is alive, however long answers take.
+// ConnectionOpened records that a new connection to a node was opened. The machine of the node is alive even if its
+// responses are late.
 func (c *Controller) ConnectionOpened(index int) {
 	if n := c.node(index); n != nil && n.zone != nil {
 		n.zone.evidence.connectFailedNodes = n.zone.evidence.connectFailedNodes[:0]
 	}
 }
 
-// ConnectionRefused reports that a new connection to a node was refused or could not be opened.
+// ConnectionRefused records that a new connection to a node was refused or could not be opened.
 func (c *Controller) ConnectionRefused(index int) {
 	if n := c.node(index); n != nil && n.zone != nil {
 		n.zone.evidence.addConnectFailure(n.hash)
 	}
 }
 
-// OriginFetched reports a completed fetch from the origin, and whether it was late.
+// OriginFetched records a completed fetch from the origin, and whether it was late.
 func (c *Controller) OriginFetched(now Time, late bool) {
 	c.origin.decay(now)
 	if late {
@@ -88,11 +89,12 @@
 
 // proxyLoad is the load of this proxy on all caches.
 type proxyLoad struct {
-	inFlight float64 // attempts
-	capacity float64 // attempts in flight that the caches answer in time
+	inFlight float64 // attempts in flight
+	capacity float64 // attempts in flight that the caches can answer in time
 }
 
-// SetLoad takes how many attempts this proxy has in flight at all caches, and how many of these they answer in time.
+// SetLoad sets the number of attempts of this proxy that are in flight at all caches, and the number in flight that the
+// caches can answer in time.
 func (c *Controller) SetLoad(inFlight, capacity float64) {
 	c.load = proxyLoad{inFlight: inFlight, capacity: capacity}
 }
--- a/zonehealth/evidence.go
+++ b/zonehealth/evidence.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	minConnectFailedNodes = 2              // that refuse connections, for a standalone evacuation of a zone of so many
-	evidenceWindow        = 3 * Second / 2 // the time that votes and decisions are about
+	minConnectFailedNodes = 2              // nodes that must refuse connections for a standalone evacuation (all if fewer)
+	evidenceWindow        = 3 * Second / 2 // maximum age of a response or an unanswered attempt that counts as recent
 	attemptCountHalfLife  = 2 * Second
 )
 
-// attemptCounts are numbers of recent attempts by outcome. They decay by half in attemptCountHalfLife.
+// attemptCounts are decaying numbers of attempts by outcome, with the half-life attemptCountHalfLife.
 type attemptCounts struct {
 	inTime, late, unanswered float64
-	at                       Time // of the latest decay
+	at                       Time // time of the latest decay
 }
 
 func (a *attemptCounts) decay(now Time) {
@@ -19,15 +19,17 @@
 	a.inTime, a.late, a.unanswered, a.at = a.inTime*factor, a.late*factor, a.unanswered*factor, now
 }
 
-// localEvidence is what this proxy's own attempts tell about a zone.
+// localEvidence is the evidence about a zone from the attempts of this proxy.
 type localEvidence struct {
-	lastResponseAt     Time     // the latest answer
-	lastInTimeAt       Time     // the latest answer in time
-	lastUnansweredAt   Time     // the latest unanswered attempt
-	runStartedAt       Time     // the first unanswered attempt since the latest answer
-	unansweredRun      int      // unanswered attempts since the latest answer
-	unhealthyNodes     []uint32 // hashes of names of the nodes that did not answer these
-	connectFailedNodes []uint32 // likewise of nodes that refused a connection since one was opened or an answer arrived
+	lastResponseAt   Time     // time of the latest response
+	lastInTimeAt     Time     // time of the latest response in time
+	lastUnansweredAt Time     // time of the latest unanswered attempt
+	runStartedAt     Time     // time of the first unanswered attempt since the latest response
+	unansweredRun    int      // unanswered attempts since the latest response
+	unhealthyNodes   []uint32 // name hashes of the nodes with these unanswered attempts
+	// connectFailedNodes holds the name hashes of nodes that refused a connection since the latest response from the zone
+	// or the latest connection opened in it.
+	connectFailedNodes []uint32
 	counts             attemptCounts
 }
 
@@ -36,12 +38,12 @@
 	return localEvidence{lastResponseAt: never, lastInTimeAt: never, lastUnansweredAt: never}
 }
 
-// clearRun forgets the unanswered attempts, as after an answer.
+// clearRun clears the unanswered attempts and the failed connections, as after a response.
 func (e *localEvidence) clearRun() {
 	e.unansweredRun, e.unhealthyNodes, e.connectFailedNodes = 0, e.unhealthyNodes[:0], e.connectFailedNodes[:0]
 }
 
-// restart forgets all that is counted, so that what is counted from now on is about a new verdict.
+// restart clears all counts, so that only attempts under a new verdict are counted.
 func (e *localEvidence) restart(now Time) {
 	e.counts = attemptCounts{at: now}
 	e.clearRun()
@@ -59,7 +61,7 @@
 	}
 }
 
-// addConnectFailure notes that a node refused a connection.
+// addConnectFailure records that a node refused a connection.
 func (e *localEvidence) addConnectFailure(node uint32) {
 	if len(e.connectFailedNodes) < minConnectFailedNodes {
 		e.connectFailedNodes = appendMissing(e.connectFailedNodes, node)
--- a/zonehealth/latency.go
+++ b/zonehealth/latency.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	latencySmoothing    = 32 // an answer weighs one part in so many in the moving averages of the latency
-	latencyDeviations   = 4  // above the mean latency, from which on an attempt is overdue
-	overdueMargin       = Second / 100
-	overdueFloorDivisor = 8  // an attempt is not overdue before this part of the shortest objective
-	initialMeanDivisor  = 8  // the mean latency before the first answer is this part of the shortest objective,
-	initialDevDivisor   = 16 // and its deviation this one
+	latencySmoothing    = 32           // inverse weight of a new response in the moving averages of the latency
+	latencyDeviations   = 4            // mean deviations above the mean latency after which an attempt is overdue
+	overdueMargin       = Second / 100 // added to the time after which an attempt is overdue
+	overdueFloorDivisor = 8            // shortest objective / minimum time after which an attempt is overdue
+	initialMeanDivisor  = 8            // shortest objective / mean latency before the first response
+	initialDevDivisor   = 16           // shortest objective / mean deviation before the first response
 )
 
-// latencyEstimate holds moving averages of the latency of answers in time, in units of Time.
+// latencyEstimate holds moving averages of the latency of responses in time and of its deviation, in units of Time.
 type latencyEstimate struct{ mean, deviation float64 }
 
 func newLatencyEstimate(shortestObjective Time) latencyEstimate {
@@ -27,8 +27,8 @@
 	l.deviation += (math.Abs(difference) - l.deviation) / latencySmoothing
 }
 
-// overdue is the time after which an attempt counts as unanswered.
-func (l *latencyEstimate) overdue(shortestObjective Time) Time {
+// overdueTime returns the time after which an attempt counts as unanswered. It is at most the shortest objective.
+func (l *latencyEstimate) overdueTime(shortestObjective Time) Time {
 	expected := Time(l.mean+latencyDeviations*l.deviation) + overdueMargin
 	return min(max(expected, shortestObjective/overdueFloorDivisor), shortestObjective)
 }
--- a/zonehealth/node.go
+++ b/zonehealth/node.go
@@ -4,43 +4,44 @@
 
 // Node is a cache server in the endpoint list.
 type Node struct {
-	Index     int // by which the caller and decisions refer to it, from 0
+	Index     int // identifies the node in calls and decisions, from 0
 	Name      string
-	Zone      string // "" where it is not known: no zone's verdict affects the node
-	StartedAt Time   // its latest start, 0: long ago
+	Zone      string // "" if it is unknown: no verdict affects the node
+	StartedAt Time   // time of its latest start, 0 if that is long ago
 }
 
-// NodeHash is the hash of a node's name that stands for the node in reports and verdicts.
+// NodeHash returns the hash of a node's name that identifies the node in reports and verdicts.
 func NodeHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// node is a listed node with this proxy's own observations.
+// node is a listed node with the observations of this proxy.
 type node struct {
 	Node
-	zone             *zone // nil: unknown, or beyond maxZones
+	zone             *zone // nil if it is unknown or beyond maxZones
 	hash             uint32
-	inFlight         int  // attempts
-	waitingSince     Time // since when the oldest attempt in flight has no answer, 0: none is in flight
-	overdue          bool // the oldest attempt in flight has been counted as unanswered
-	lastResponseAt   Time // the latest answer
-	excludedFraction float64
-	cancelInFlight   bool // as excludedFraction, as last decided
+	inFlight         int     // attempts in flight
+	waitingSince     Time    // start of the current wait for a response, 0 if no attempt is in flight
+	overdue          bool    // the current wait has been counted as an unanswered attempt
+	lastResponseAt   Time    // time of the latest response
+	excludedFraction float64 // as last decided
+	cancelInFlight   bool    // as last decided
 }
 
-// becameOverdue reports whether the oldest attempt in flight has just become overdue.
+// becameOverdue reports whether the current wait for a response is overdue and has not been counted yet.
 func (n *node) becameOverdue(now, overdue Time) bool {
 	return n.zone != nil && n.inFlight > 0 && n.waitingSince > 0 && !n.overdue && now-n.waitingSince >= overdue
 }
 
-// slowStartFraction is the share of its work that a node bears: less than 1 until its slow start is over.
+// slowStartFraction returns the fraction of its normal load that a node sustains. It is less than 1 during slow start.
 func (c *Controller) slowStartFraction(n *node) float64 {
 	age := c.now - n.StartedAt
 	if n.StartedAt <= 0 || age >= c.settings.SlowStartTime {
 		return 1
 	}
-	return c.settings.SlowStartInitialFraction + (1-c.settings.SlowStartInitialFraction)*float64(max(age, 0))/float64(c.settings.SlowStartTime)
+	return c.settings.SlowStartInitialFraction +
+		(1-c.settings.SlowStartInitialFraction)*float64(max(age, 0))/float64(c.settings.SlowStartTime)
 }
 
-// node returns the listed node of an index, nil: there is none.
+// node returns the listed node with the given index, or nil if there is none.
 func (c *Controller) node(index int) *node {
 	if index < 0 || index >= len(c.nodes) {
 		return nil
@@ -48,7 +49,7 @@
 	return c.nodes[index]
 }
 
-// SetNodes takes the complete endpoint list.
+// SetNodes replaces the endpoint list.
 func (c *Controller) SetNodes(now Time, listed []Node) []Decision {
 	present := make(map[int]bool, len(listed))
 	for i := range listed {
@@ -63,8 +64,8 @@
 	return c.UpdateNodes(now, listed, removed)
 }
 
-// UpdateNodes takes a change of the endpoint list: nodes that are new or have changed, and the indices of nodes that
-// are not listed any more, or never were.
+// UpdateNodes applies a change of the endpoint list: listed holds the nodes that are new or have changed, and removed
+// holds the indices of nodes to remove. Indices without a listed node are ignored.
 func (c *Controller) UpdateNodes(now Time, listed []Node, removed []int) []Decision {
 	c.begin(now)
 	for _, index := range removed {
@@ -78,7 +79,7 @@
 	return c.decisions
 }
 
-// removeNode forgets the node of an index, if one is listed.
+// removeNode removes the node with the given index, if one is listed.
 func (c *Controller) removeNode(index int) {
 	n := c.node(index)
 	if n == nil {
@@ -91,7 +92,8 @@
 	c.nodes[index] = nil
 }
 
-// addOrUpdateNode adds a node, or updates it where the same one was listed before under its index.
+// addOrUpdateNode adds a node, or updates it if a node with the same name is already listed under its index. A node with
+// another name is replaced.
 func (c *Controller) addOrUpdateNode(listed *Node) {
 	for len(c.nodes) <= listed.Index {
 		c.nodes = append(c.nodes, nil)
--- a/zonehealth/outcome.go
+++ b/zonehealth/outcome.go
@@ -1,19 +1,19 @@
 package zonehealth
 
-// Outcome is the outcome of an attempt at a cache, as far as it is evidence about a zone.
+// Outcome is the outcome of an attempt at a cache server, as evidence about its zone.
 type Outcome uint8
 
 const (
-	// AnsweredInTime is an answer within the latency objective.
+	// AnsweredInTime is a response within the latency objective.
 	AnsweredInTime Outcome = iota
-	// AnsweredLate is an answer after the latency objective, or an error answer: the node is alive.
+	// AnsweredLate is a response after the latency objective, or an error response. The node is alive.
 	AnsweredLate
-	// Unanswered is a timeout, or a connection that broke.
+	// Unanswered is a timeout or a broken connection.
 	Unanswered
-	// Cancelled is a cancelled attempt, which counts as unanswered only if it was overdue.
+	// Cancelled is a canceled attempt. It counts as unanswered only if it was overdue.
 	Cancelled
-	// NotSent is an attempt that was never sent, and is no evidence.
+	// NotSent is an attempt that was never sent. It is no evidence about the zone.
 	NotSent
-	// ConnectFailed is a connection that was refused or could not be opened.
+	// ConnectFailed is a connection that was refused or could not be opened. It counts as unanswered.
 	ConnectFailed
 )
