--- a/zonehealth/evacuation.go
+++ b/zonehealth/evacuation.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// flapMemory is how long after an evacuation a zone is in service until its flaps are forgotten.
+// flapMemory is the time since the latest evacuation after which a zone in service is no longer considered flapping and
+// its flaps are cleared.
 const flapMemory = 60 * Second
 
-// Reasons of verdicts, for the log.
+// Reasons for verdicts, for the log.
 const (
 	reasonCapacity       = "the other zones have capacity"
 	reasonNoCapacity     = "the other zones lack capacity for all of it: low-priority requests are rejected"
-	reasonCapacityFound  = "the other zones have capacity by now"
+	reasonCapacityFound  = "the other zones have capacity by now" // after a partial evacuation
 	reasonTrials         = "trial requests of the whole fleet"
 	reasonUnanswered     = "attempts are unanswered"
 	reasonAnswersLate    = "answers are late"
@@ -25,10 +26,11 @@
 	return at > 0 && c.now-at >= c.settings.ConfirmationTime && c.anotherZoneServes(z)
 }
 
-// evacuate proposes to evacuate a zone: partly, where the others lack capacity and some of its nodes answer.
+// evacuate proposes to evacuate a zone. The evacuation is partial if the other zones lack capacity and some nodes of the
+// zone respond.
 func (c *Controller) evacuate(z *zone) {
 	verdict := z.verdict.successor(Evacuated, 0)
-	// A zone whose first trial requests find it still lost does not flap.
+	// A failure of the first trial requests does not count as a flap: the zone has been lost all the time.
 	if z.verdict.Step > 0 || z.verdict.State == InService && c.now-z.evacuatedAt < flapMemory {
 		verdict = z.verdict.flappingSuccessor(Evacuated, 0)
 	}
@@ -52,8 +54,8 @@
 	c.propose(z, z.verdict.successor(Evacuated, 0), reasonCapacityFound)
 }
 
-// othersHaveCapacity reports whether the other zones can take all attempts in flight, in the view of most proxies,
-// each by its own load. A node in slow start counts by the share of its work that it bears.
+// othersHaveCapacity reports whether the other zones can take all attempts in flight, according to the loads of a
+// majority of the proxies. A node in slow start counts with the fraction of its normal load that it sustains.
 func (c *Controller) othersHaveCapacity(z *zone) bool {
 	serving, all := 0.0, 0.0
 	for _, n := range c.nodes {
@@ -65,18 +67,19 @@
 			serving += c.effectiveServedFraction(n.zone) * c.slowStartFraction(n)
 		}
 	}
-	share := serving / max(all, 1)
-	fitting, proxies := countIf(c.load.inFlight <= c.load.capacity*share), 1
+	fraction := serving / max(all, 1)
+	fitting, proxies := countIf(c.load.inFlight <= c.load.capacity*fraction), 1
 	for r := range c.reachableReports(z) {
 		if r.fresh(c.now) {
-			fitting += countIf(float64(r.InFlight) <= float64(r.Capacity)*share)
+			fitting += countIf(float64(r.InFlight) <= float64(r.Capacity)*fraction)
 			proxies++
 		}
 	}
 	return 2*fitting > proxies
 }
 
-// anotherZoneServes reports whether another zone with nodes serves keys: the last one is never evacuated.
+// anotherZoneServes reports whether another zone with nodes serves keys. The last zone that serves keys is never
+// evacuated.
 func (c *Controller) anotherZoneServes(z *zone) bool {
 	return slices.ContainsFunc(c.zones, func(other *zone) bool {
 		return other != z && other.nodes > 0 && c.effectiveServedFraction(other) > 0
--- a/zonehealth/exclusion.go
+++ b/zonehealth/exclusion.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// effectiveServedFraction is the share of its keys that a zone serves by overrides, by the verdicts of the fleet and of
-// this proxy, and for a proxy in the zone itself that still gets answers there.
+// effectiveServedFraction returns the fraction of its keys that a zone serves. An override takes precedence. Otherwise it
+// is 1 if this proxy is in the zone and receives responses there, and else the lower of the fractions of the fleet's
+// verdict and the standalone verdict.
 func (c *Controller) effectiveServedFraction(z *zone) float64 {
 	switch {
 	case z.override.Mode == OverrideOut:
@@ -14,25 +15,25 @@
 	return min(z.verdict.servedFraction(), z.standalone.verdict.servedFraction())
 }
 
-// servedLocally reports whether this proxy is in a zone and gets answers there. The fleet's verdict does not affect
-// it then.
+// servedLocally reports whether this proxy is in a zone and receives responses there. If so, the verdicts on the zone do
+// not affect this proxy.
 func (c *Controller) servedLocally(z *zone) bool {
 	return z.name == c.settings.Zone && c.now-z.evidence.lastResponseAt < evidenceWindow
 }
 
-// applyServedFractions decides the exclusion of each node for which it has changed.
+// applyServedFractions updates the served fraction of each zone and the exclusions of its nodes.
 func (c *Controller) applyServedFractions() {
 	noZoneServes, allOpen := c.noZoneServes(), true
 	for _, z := range c.zones {
-		share := c.effectiveServedFraction(z)
+		fraction := c.effectiveServedFraction(z)
 		if forcedOut := z.override.Mode == OverrideOut && z.override.Force; noZoneServes && !forcedOut {
-			share = 1 // evidence that all zones are lost is wrong
+			fraction = 1 // evidence that all zones are lost is assumed to be wrong
 		}
-		c.setServedFraction(z, share)
+		c.setServedFraction(z, fraction)
 		allOpen = allOpen && z.servedFraction == 1
 	}
 	if allOpen && c.excludedNodeCount == 0 {
-		return // as it is but for troubles: no node is excluded, or is to be
+		return // the usual case: no node is excluded, and none has to be
 	}
 	for i, n := range c.nodes {
 		if n != nil {
@@ -41,7 +42,7 @@
 	}
 }
 
-// noZoneServes reports whether no zone with nodes serves any keys, and all nodes are in zones.
+// noZoneServes reports whether no zone with nodes serves any keys and every node is in a zone.
 func (c *Controller) noZoneServes() bool {
 	for _, z := range c.zones {
 		if z.nodes > 0 && c.effectiveServedFraction(z) != 0 {
@@ -51,37 +52,37 @@
 	return !slices.ContainsFunc(c.nodes, func(n *node) bool { return n != nil && n.zone == nil })
 }
 
-func (c *Controller) setServedFraction(z *zone, share float64) {
-	if share != z.servedFraction && z.nodes > 0 {
-		z.servedFraction = share
-		c.log("zone %s: %.3f of its keys are served there, by %d nodes", z.name, share, z.nodes)
+func (c *Controller) setServedFraction(z *zone, fraction float64) {
+	if fraction != z.servedFraction && z.nodes > 0 {
+		z.servedFraction = fraction
+		c.log("zone %s: %.3f of its keys are served there, by %d nodes", z.name, fraction, z.nodes)
 	}
 }
 
-// updateExclusion decides the exclusion of a node from its zone's open share. Attempts in flight are cancelled unless
-// an operator has taken the zone out of service.
+// updateExclusion updates the exclusion of a node to the served fraction of its zone. Attempts in flight at an excluded
+// node are canceled unless an operator has taken the zone out of service.
 func (c *Controller) updateExclusion(index int, n *node) {
-	share, cancel := 0.0, false
+	fraction, cancel := 0.0, false
 	if z := n.zone; z != nil {
 		retained := z.verdict.State == PartlyEvacuated && slices.Contains(z.verdict.RetainedNodes, n.hash)
 		if !retained {
-			share = 1 - z.servedFraction
+			fraction = 1 - z.servedFraction
 		}
-		cancel = share > 0 && z.override.Mode != OverrideOut
+		cancel = fraction > 0 && z.override.Mode != OverrideOut
 	}
-	if share != n.excludedFraction || cancel != n.cancelInFlight {
-		c.setExclusion(n, share, cancel)
-		c.decide(Decision{Action: ExcludeNode, Node: index, ExcludedFraction: share, CancelInFlight: cancel})
+	if fraction != n.excludedFraction || cancel != n.cancelInFlight {
+		c.setExclusion(n, fraction, cancel)
+		c.decide(Decision{Action: ExcludeNode, Node: index, ExcludedFraction: fraction, CancelInFlight: cancel})
 	}
 }
 
-// setExclusion sets a node's exclusion.
-func (c *Controller) setExclusion(n *node, share float64, cancel bool) {
+// setExclusion sets the exclusion of a node and updates the number of excluded nodes.
+func (c *Controller) setExclusion(n *node, fraction float64, cancel bool) {
 	if n.excludedFraction != 0 || n.cancelInFlight {
 		c.excludedNodeCount--
 	}
-	n.excludedFraction, n.cancelInFlight = share, cancel
-	if share != 0 || cancel {
+	n.excludedFraction, n.cancelInFlight = fraction, cancel
+	if fraction != 0 || cancel {
 		c.excludedNodeCount++
 	}
 }
--- a/zonehealth/fleet.go
+++ b/zonehealth/fleet.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	minVotes          = 2  // that it takes to move the fleet, however small it is
-	maxVotes          = 16 // that it takes at most, however large it is
-	maxVerdictBackers = 2  // peers acting on a verdict that it takes to follow them
+	minVotes          = 2  // minimum number of required votes, however small the fleet
+	maxVotes          = 16 // maximum number of required votes, however large the fleet
+	maxVerdictBackers = 2  // peers acting on a verdict that are required to follow it, all reachable peers if fewer
 )
 
-// Proxy is a member of the fleet, as replication knows it.
+// Proxy is a member of the fleet, as reported by replication.
 type Proxy struct {
 	Name, Zone string
-	Reachable  bool // a heartbeat has arrived lately
+	Reachable  bool // a heartbeat has arrived recently
 	Departed   bool // its process is known to have ended
 }
 
-// fleetView is what this proxy knows of the fleet, itself included. It is empty where there are no peers.
+// fleetView is the fleet as seen by this proxy, including itself. It is empty if there are no peers.
 type fleetView struct {
 	proxies    []Proxy
-	reachable  map[string]string // zone by name of the proxies that are reachable
-	catchingUp bool              // this proxy has not yet all state of its peers
+	reachable  map[string]string // zones of the reachable proxies by proxy name
+	catchingUp bool              // this proxy has not yet received all state of its peers
 }
 
 func newFleetView() fleetView { return fleetView{reachable: map[string]string{}} }
@@ -39,17 +39,17 @@
 
 func (f *fleetView) hasPeers() bool { return len(f.reachable) > 1 }
 
-// limitToPeers is n, or as many as there are reachable peers where these are fewer.
+// limitToPeers returns n, or the number of reachable peers if it is lower.
 func (f *fleetView) limitToPeers(n int) int { return min(n, len(f.reachable)-1) }
 
 // quorumView counts the proxies outside a zone or region.
 type quorumView struct {
 	reachable int
-	zones     int // that the reachable proxies are in
-	known     int // that have not departed
+	zones     int // number of zones of the reachable proxies
+	known     int // proxies that have not departed
 }
 
-// quorumOutside counts the proxies whose zone is not within a zone or region.
+// quorumOutside counts the proxies for whose zone within returns false.
 func (f *fleetView) quorumOutside(within func(zone string) bool) quorumView {
 	var view quorumView
 	var zones []string
@@ -67,7 +67,7 @@
 	return view
 }
 
-// updateQuorum counts the proxies outside a zone, and outside its region.
+// updateQuorum counts the proxies outside a zone and those outside its region.
 func (c *Controller) updateQuorum(z *zone) {
 	z.outsideZone = c.fleet.quorumOutside(func(name string) bool { return name == z.name })
 	if z.region != nil {
@@ -75,19 +75,20 @@
 	}
 }
 
-// hasQuorum reports whether this proxy reaches a majority of the proxies that can evaluate a zone. One that does not may
-// be cut off itself.
+// hasQuorum reports whether this proxy reaches a majority of the proxies outside a zone, which are the ones that vote on
+// it. A proxy that does not may itself be cut off.
 func (c *Controller) hasQuorum(z *zone) bool {
 	return !c.fleet.catchingUp && z.outsideZone.known >= 2 && 2*z.outsideZone.reachable > z.outsideZone.known
 }
 
-// requiredVotes is how many of the reachable proxies it takes to move the fleet.
+// requiredVotes returns the number of votes or proposals required for a decision of the fleet, given the number of
+// reachable proxies.
 func (c *Controller) requiredVotes(reachable int) int {
 	return min(max(minVotes, int(math.Ceil(c.settings.VoteShare*float64(reachable)))), maxVotes)
 }
 
-// SetFleet takes the members of the fleet, this proxy included, and whether it is still catching up with their state. It
-// keeps the slice. Where the settings say that there are no peers it does nothing.
+// SetFleet sets the members of the fleet, including this proxy, and whether this proxy is still catching up with the
+// state of its peers. It retains the slice. It has no effect if Settings.WithoutPeers is set.
 func (c *Controller) SetFleet(now Time, proxies []Proxy, catchingUp bool) {
 	c.begin(now)
 	if c.settings.WithoutPeers {
--- a/zonehealth/override.go
+++ b/zonehealth/override.go
@@ -7,38 +7,39 @@
 	"strings"
 )
 
-// OverrideMode is what an operator's override makes of a zone. Of two overrides of one epoch the greater takes precedence.
+// OverrideMode is the effect of an operator's override on a zone. Of two overrides with the same epoch, the one with the
+// greater mode takes precedence.
 type OverrideMode uint8
 
 const (
-	// OverrideAuto leaves the zone to the evidence.
+	// OverrideAuto does not override: the evidence decides.
 	OverrideAuto OverrideMode = iota
 	// OverrideIn keeps the zone in service.
 	OverrideIn
-	// OverrideHold keeps the verdict on the zone as it is.
+	// OverrideHold keeps the current verdict on the zone.
 	OverrideHold
-	// OverrideOut keeps the zone out of service. Attempts in flight there are not cancelled.
+	// OverrideOut keeps the zone out of service. Attempts in flight in the zone are not canceled.
 	OverrideOut
 )
 
-// OverrideModes are the kinds of override by the names that operators use.
+// OverrideModes maps the names that operators use to override modes.
 var OverrideModes = map[string]OverrideMode{"auto": OverrideAuto, "in": OverrideIn, "hold": OverrideHold, "out": OverrideOut}
 
-// String returns the name that operators use.
-func (w OverrideMode) String() string { return [...]string{"auto", "in", "hold", "out"}[w&3] }
+// String returns the name of the mode that operators use.
+func (m OverrideMode) String() string { return [...]string{"auto", "in", "hold", "out"}[m&3] }
 
-// Override is an operator's override for a zone. Of two the one with the later epoch takes precedence, then the one of
-// the stricter kind: out, hold, in, auto.
+// Override is an operator's override for a zone. Of two overrides, the one with the later epoch takes precedence, then
+// the one with the stricter mode, in the order out, hold, in, auto.
 type Override struct {
 	Zone  string
 	Mode  OverrideMode
-	Epoch int64  // from 1; one more than that of the override that it replaces
-	Proxy string // name of the proxy that the operator called
-	Force bool   // take the zone out of service even if no zone is left
+	Epoch int64  // from 1; the epoch of the override that it replaces plus 1
+	Proxy string // name of the proxy that received the operator's command
+	Force bool   // take the zone out of service even if no other zone serves keys
 }
 
-// SetOverride takes an override, of this proxy's operator or by gossip. One of an unknown zone, or that does not take
-// precedence over the present one, is ignored.
+// SetOverride sets an override that was received from an operator or by gossip. An invalid override, one for a zone
+// beyond the maximum number of zones, and one that does not take precedence over the current override are ignored.
 func (c *Controller) SetOverride(now Time, override Override) []Decision {
 	c.begin(now)
 	z := c.findOrAddZone(override.Zone)
@@ -60,8 +61,8 @@
 	return c.decisions
 }
 
-// rampAfterOverride starts a recovery ramp in a zone that was out of service by override: its nodes may have been
-// restarted, and all of its keys at once would overload them.
+// rampAfterOverride starts a recovery ramp in a zone that an override kept out of service. Its nodes may have been
+// restarted, and the load of all keys at once would overload them.
 func (c *Controller) rampAfterOverride(z *zone) {
 	if c.fleet.hasPeers() {
 		c.adopt(z, z.verdict.successor(Returning, 0), reasonOverrideLifted)
@@ -74,9 +75,9 @@
 	return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Mode, b.Mode))
 }
 
-// CheckOverride returns what forbids to set an override for the named zones, in words for the operator, "" if nothing does. A
-// non-negative epoch has to be that of the present override of each of the zones (0: none). Taking the last zone out of
-// service is forbidden unless force is set.
+// CheckOverride returns the reason why an override must not be set for the named zones, as a text for the operator, or
+// "" if it may be set. A non-negative epoch must equal the epoch of the current override of each zone, which is 0 if
+// there is none. Taking the last zone out of service is not allowed unless force is set.
 func CheckOverride(statuses []ZoneStatus, names []string, want OverrideMode, epoch int64, force bool) string {
 	for _, name := range names {
 		i := slices.IndexFunc(statuses, func(s ZoneStatus) bool { return s.Name == name })
@@ -93,7 +94,7 @@
 	return ""
 }
 
-// servesWithout reports whether a zone that is not among the named ones serves keys, and is not overridden to be out.
+// servesWithout reports whether a zone other than the named ones serves keys and has no override out.
 func servesWithout(statuses []ZoneStatus, names []string) bool {
 	return slices.ContainsFunc(statuses, func(s ZoneStatus) bool {
 		return s.Nodes > 0 && !slices.Contains(names, s.Name) && s.OpenShare > 0 && s.Override.Mode != OverrideOut
--- a/zonehealth/publication.go
+++ b/zonehealth/publication.go
@@ -3,15 +3,16 @@
 import "slices"
 
 const (
-	verdictRepeat      = 10 * Second // how long a verdict that the zone is in service is reported
-	unansweredWindow   = Second      // an unhealthy vote needs an unanswered attempt in this time
-	minOriginFetches   = 1           // decayed count of origin fetches from which on the share of late ones is reported
-	reportTTLIntervals = 3           // for which a report lives,
-	reportTTLMargin    = Second      // and so much longer
+	verdictRepeat      = 10 * Second // time for which a verdict that the zone is in service is reported
+	unansweredWindow   = Second      // maximum age of the latest unanswered attempt for an unhealthy vote
+	minOriginFetches   = 1           // minimum decayed count of origin fetches for the fraction of late ones to be reported
+	reportTTLIntervals = 3           // TTL of a report in repeat intervals,
+	reportTTLMargin    = Second      // plus this margin
 )
 
-// The time between two reports on a zone is a base and a part for each proxy in the fleet, which bounds the traffic
-// that a proxy receives. Changes of the verdict are few, and all proxies wait for them.
+// The interval between two reports on a zone is the sum of a base and a term for each proxy in the fleet, which bounds
+// the traffic that a proxy receives. The term for changes of the verdict is the smallest, because such changes are rare
+// and all proxies wait for them.
 const (
 	unchangedInterval         = Second / 2
 	unchangedIntervalPerProxy = Second / 200
@@ -20,16 +21,16 @@
 	voteIntervalPerProxy      = Second / 500
 )
 
-// publication is what this proxy has published on a zone.
+// publication is the state of the reports that this proxy publishes on a zone.
 type publication struct {
-	current Report // as the last vote count had it
-	last    Report
-	lastAt  Time
-	watched bool // there is something to report
+	current Report // own report in the latest vote count, without a proposal
+	last    Report // latest published report
+	lastAt  Time   // time at which it was published
+	watched bool   // there are unhealthy votes, a proposal, or a verdict other than in service
 }
 
-// due reports whether the time since the last publication allows another one: a change is published at once, within
-// bounds that follow from the size of the fleet, and the rest at an interval.
+// due reports whether a report may be published, given the time since the last publication. A change is published after
+// a short interval and an unchanged report after a longer one. Both grow with the size of the fleet.
 func (p *publication) due(report *Report, now Time, proxies int) bool {
 	sinceLast := now - p.lastAt
 	verdictChanged := report.Verdict.compare(&p.last.Verdict) != 0 || (report.Proposal == nil) != (p.last.Proposal == nil)
@@ -39,18 +40,18 @@
 		voteChanged && sinceLast >= changedInterval+Time(proxies)*voteIntervalPerProxy
 }
 
-// repeatInterval is the time between two unchanged reports, in a fleet of so many proxies.
+// repeatInterval returns the interval between two unchanged reports in a fleet with the given number of proxies.
 func repeatInterval(proxies int) Time {
 	return unchangedInterval + Time(proxies)*unchangedIntervalPerProxy
 }
 
-// vote is the vote of this proxy on a zone.
+// vote returns the vote of this proxy on a zone.
 func (c *Controller) vote(z *zone) Vote {
 	e := &z.evidence
-	sinceAnswer := c.now - e.lastResponseAt
+	sinceResponse := c.now - e.lastResponseAt
 	switch {
-	case sinceAnswer < c.settings.SilenceTimeout,
-		e.unansweredRun == 0 && sinceAnswer < c.settings.SilenceTimeout*3/2:
+	case sinceResponse < c.settings.SilenceTimeout,
+		e.unansweredRun == 0 && sinceResponse < c.settings.SilenceTimeout*3/2:
 		return VoteHealthy
 	case e.unansweredRun >= 1 && c.now-e.lastUnansweredAt < unansweredWindow:
 		return VoteUnhealthy
@@ -58,7 +59,7 @@
 	return NoVote
 }
 
-// ownReport is the report of this proxy on a zone, without a proposal.
+// ownReport returns the report of this proxy on a zone, without a proposal.
 func (c *Controller) ownReport(z *zone) Report {
 	e := &z.evidence
 	e.counts.decay(c.now)
@@ -80,7 +81,8 @@
 	return report
 }
 
-// healthyNodes are the hashes of the first nodes of a zone that answered this proxy within the silence timeout.
+// healthyNodes returns the name hashes of nodes in a zone that responded to this proxy within the silence timeout, up to
+// maxReportedNodes.
 func (c *Controller) healthyNodes(z *zone) []uint32 {
 	var hashes []uint32
 	for _, n := range c.nodes {
@@ -91,7 +93,8 @@
 	return hashes
 }
 
-// publish sends the report on a zone to peers while there is something to report.
+// publish publishes the report on a zone to peers if one is due. It publishes nothing if the zone is in service without
+// unhealthy votes and proposals, except for some time after a verdict.
 func (c *Controller) publish(z *zone) {
 	p := &z.publication
 	report := p.current
--- a/zonehealth/ramp.go
+++ b/zonehealth/ramp.go
@@ -1,8 +1,8 @@
 package zonehealth
 
 const (
-	maxRampWaitSteps = 4    // steps' times after which a step without any answer in time is done
-	roundingMargin   = 1e-9 // so that a sum of full shares is not below its number
+	maxRampWaitSteps = 4    // duration, in RampStepTime, after which a step without any response in time is done
+	roundingMargin   = 1e-9 // keeps rounding errors from lowering the mean of n fractions of 1 below 1
 )
 
 // startRamp proposes the first step of the recovery ramp.
@@ -10,11 +10,12 @@
 	c.propose(z, z.verdict.successor(Returning, 0), reasonTrials)
 }
 
-// minFailingProxies is how many proxies have to find attempts unanswered: not one alone, if there are more.
+// minFailingProxies returns the number of proxies whose attempts must be unanswered for a step to fail: two, unless
+// there are fewer reachable peers.
 func (c *Controller) minFailingProxies() int { return c.fleet.limitToPeers(2) }
 
-// rampFailing reports whether attempts since this step are unanswered, for more than a quarter of the proxies that
-// made any.
+// rampFailing reports whether attempts since the start of the current step are unanswered for enough proxies, and for
+// more than a quarter of the proxies with attempts.
 func (c *Controller) rampFailing(z *zone) bool {
 	v := &z.votes
 	return z.verdict.State == Returning && v.unanswered >= c.minFailingProxies() && 4*v.unanswered > v.attempted
@@ -25,7 +26,8 @@
 	return at > 0 && c.now-at >= c.settings.ConfirmationTime
 }
 
-// evacuateAgain proposes to end the ramp. A zone whose first trial requests find it still lost does not flap.
+// evacuateAgain proposes to end the ramp and evacuate the zone. A failure of the first trial requests does not count as a
+// flap: the zone has been lost all the time.
 func (c *Controller) evacuateAgain(z *zone) {
 	verdict := z.verdict.successor(Evacuated, 0)
 	if z.verdict.Step > 0 {
@@ -34,7 +36,8 @@
 	c.propose(z, verdict, reasonUnanswered)
 }
 
-// rampOverloaded reports whether answers are late for a majority of the proxies with attempts, once a step has lasted.
+// rampOverloaded reports whether responses are late for at least two proxies and a majority of the proxies with attempts.
+// It is false until the current step has lasted for RampStepTime.
 func (c *Controller) rampOverloaded(z *zone) bool {
 	return z.verdict.State == Returning && z.verdict.Step > 0 && c.now-z.verdictAt >= c.settings.RampStepTime &&
 		z.votes.late >= 2 && 2*z.votes.late > z.votes.attempted
@@ -44,8 +47,8 @@
 	c.propose(z, z.verdict.successor(Returning, z.verdict.Step-1), reasonAnswersLate)
 }
 
-// rampStepDone reports whether a step has lasted, the zone and the origin answer in time, and the zone's nodes in
-// slow start bear the next step.
+// rampStepDone reports whether the next step may begin: the current step has lasted for RampStepTime, the zone and the
+// origin respond in time, and the nodes of the zone can serve the next step despite their slow start.
 func (c *Controller) rampStepDone(z *zone) bool {
 	if z.verdict.State != Returning {
 		return false
@@ -58,8 +61,8 @@
 	return (v.inTime >= 1 || elapsed >= maxRampWaitSteps*c.settings.RampStepTime) && c.canServeNextStep(z)
 }
 
-// canServeNextStep reports whether a zone's nodes bear the share of keys of the next step. The first two steps they
-// always do.
+// canServeNextStep reports whether the nodes of a zone sustain the load of the next step. They are assumed to sustain the
+// first two steps in any case.
 func (c *Controller) canServeNextStep(z *zone) bool {
 	next := 1.0
 	if z.verdict.Step+1 < len(rampFractions) {
@@ -68,7 +71,7 @@
 	return next <= c.meanSlowStartFraction(z) || next <= rampFractions[1]
 }
 
-// meanSlowStartFraction is the share of its work that a zone bears.
+// meanSlowStartFraction returns the fraction of its normal load that a zone sustains, which is the mean of its nodes.
 func (c *Controller) meanSlowStartFraction(z *zone) float64 {
 	sum, nodes := 0.0, 0.0
 	for _, n := range c.nodes {
@@ -80,7 +83,7 @@
 	return (sum + roundingMargin) / max(nodes, 1)
 }
 
-// stepForward proposes the next step, or service after the last one.
+// stepForward proposes the next step of the ramp, or to return the zone to service after the last step.
 func (c *Controller) stepForward(z *zone) {
 	verdict := z.verdict.successor(Returning, z.verdict.Step+1)
 	if verdict.Step >= len(rampFractions) {
--- a/zonehealth/standalone.go
+++ b/zonehealth/standalone.go
@@ -3,43 +3,43 @@
 import "slices"
 
 const (
-	standaloneMinRun        = 3 // unanswered attempts that a standalone evacuation takes
-	standaloneMaxNodes      = 3 // nodes that did not answer these, in a zone of four nodes or more
-	standaloneSilenceFactor = 2 // silence timeouts without an answer that it takes
-	standaloneQuorumFactor  = 2 // by which it takes more where the fleet can evaluate the zone
-	standaloneFirstStep     = 1 // of the ramp: the few trial requests of one proxy at step 0 would take too long
-	probeMinRun             = 2 // unanswered attempts that it takes to probe a zone in service
-	probeIntervalFactor     = 2 // silence timeouts between two connect probes of a zone
-	maxStandaloneStepFactor = 2 // steps' times after which a standalone step without an answer in time is done
+	standaloneMinRun        = 3 // unanswered attempts required for a standalone evacuation
+	standaloneMaxNodes      = 3 // nodes with unanswered attempts required in a zone of four nodes or more
+	standaloneSilenceFactor = 2 // time without a response required for a standalone evacuation, in silence timeouts
+	standaloneQuorumFactor  = 2 // factor on the required attempts and time if this proxy has a quorum
+	standaloneFirstStep     = 1 // first ramp step; at step 0 the few trial requests of one proxy would take too long
+	probeMinRun             = 2 // unanswered attempts required to probe a zone in service
+	probeIntervalFactor     = 2 // minimum interval between connect probes of a zone, in silence timeouts
+	maxStandaloneStepFactor = 2 // duration, in RampStepTime, after which a step without a response in time is done
 )
 
-// logEvacuatedStandalone begins with words by which checks of recorded logs find standalone evacuations.
+// logEvacuatedStandalone is the log text of a standalone evacuation. Checks of recorded logs match "evacuated standalone".
 const logEvacuatedStandalone = "zone %s: evacuated standalone, %d attempts unanswered in %.1f s, on %d nodes, " +
 	"connections refused by %d; %d of %d proxies reachable"
 
-// StandaloneCounts counts what one proxy decided standalone since its start.
+// StandaloneCounts are the numbers of standalone evacuations of one proxy since its start.
 type StandaloneCounts struct {
-	Evacuations    int // zones that it evacuated
-	FalsePositives int // of these the false positives: the first trial requests after the hold-down time were answered
+	Evacuations    int // standalone evacuations
+	FalsePositives int // evacuations after whose hold-down time the first trial requests were answered
 }
 
-// standaloneVerdict is what this proxy decides on a zone by its own evidence, for itself. It has no epoch, and ends
-// with the next verdict of the fleet.
+// standaloneVerdict is the verdict on a zone that this proxy reaches by its own evidence and that affects this proxy
+// only. It has no epoch, and the next verdict of the fleet replaces it.
 type standaloneVerdict struct {
 	verdict      Verdict
-	at           Time // of the latest change, 0: there was none
-	probedAt     Time // the latest connect probes of the zone's nodes
+	at           Time // time of the latest change, 0 if there was none
+	probedAt     Time // time of the latest connect probes of the zone's nodes
 	trialsFailed bool // trial requests have found the zone still lost since it was last evacuated from service
 }
 
-// setStandalone changes the standalone verdict, and counts evidence anew from now on.
+// setStandalone changes the standalone verdict and restarts the evidence.
 func (c *Controller) setStandalone(z *zone, state State, step int) {
 	s := &z.standalone
 	s.verdict.State, s.verdict.Step, s.at = state, step, c.now
 	z.evidence.restart(c.now)
 }
 
-// enoughConnectFailures reports whether as many of a zone's nodes refused connections as it takes for a standalone evacuation.
+// enoughConnectFailures reports whether enough nodes of a zone refused connections for a standalone evacuation.
 func (z *zone) enoughConnectFailures() bool {
 	return len(z.evidence.connectFailedNodes) >= min(z.nodes, minConnectFailedNodes)
 }
@@ -48,8 +48,8 @@
 	return c.now-z.evidence.lastUnansweredAt < evidenceWindow
 }
 
-// needsProbe reports whether attempts in a zone are unanswered while it is not known whether its nodes are alive:
-// nothing is learned from open connections, and an overloaded zone may answer nothing in time.
+// needsProbe reports whether attempts in a zone are unanswered and it is unknown whether its nodes are alive. Open
+// connections give no evidence, and an overloaded zone may send no response in time, so new connections are probed.
 func (c *Controller) needsProbe(z *zone) bool {
 	s, e := &z.standalone, &z.evidence
 	if !c.settings.StandaloneEnabled || z.verdict.State != InService || z.enoughConnectFailures() || !c.unansweredRecently(z) ||
@@ -65,12 +65,13 @@
 	return false
 }
 
-// probeCandidate reports whether a node did not answer and is not known to refuse connections.
+// probeCandidate reports whether a node has unanswered attempts and is not known to refuse connections.
 func (e *localEvidence) probeCandidate(node uint32) bool {
 	return slices.Contains(e.unhealthyNodes, node) && !slices.Contains(e.connectFailedNodes, node)
 }
 
-// probe asks for connections to nodes that did not answer, as many as may still refuse one.
+// probe requests connections to nodes with unanswered attempts, as many as must still refuse a connection for a
+// standalone evacuation.
 func (c *Controller) probe(z *zone) {
 	e := &z.evidence
 	z.standalone.probedAt = c.now
@@ -86,11 +87,12 @@
 	}
 }
 
-// standaloneLost reports whether this proxy's own evidence says that a zone in service is lost: unanswered attempts
-// at several nodes, no answer for long, refused connections, and another zone that answers. A zone that accepts
-// connections and answers late is overloaded; a proxy of little traffic would otherwise evacuate whole zones in a
-// burst. Where the fleet can evaluate the zone and does not find it lost it takes more, since the fault may be in this
-// proxy's own network path.
+// standaloneLost reports whether a zone in service is lost according to the evidence of this proxy alone: unanswered
+// attempts at several nodes, no response for a long time, refused connections, and another zone that responds.
+//
+// Refused connections are required because a zone that accepts connections and responds late is only overloaded, and a
+// proxy with little traffic would otherwise evacuate whole zones during a burst. If this proxy has a quorum and the
+// fleet has not evacuated the zone, more evidence is required, since the fault may be in this proxy's network path.
 func (c *Controller) standaloneLost(z *zone) bool {
 	e, factor := &z.evidence, 1
 	if c.hasQuorum(z) {
@@ -106,7 +108,7 @@
 		c.anotherZoneServes(z)
 }
 
-// evacuateStandalone evacuates a zone for this proxy, from service or after its trial requests failed.
+// evacuateStandalone evacuates a zone for this proxy only, from service or after its trial requests failed.
 func (c *Controller) evacuateStandalone(z *zone) {
 	s, e := &z.standalone, &z.evidence
 	inService := s.verdict.State == InService
@@ -134,16 +136,16 @@
 
 func (c *Controller) startStandaloneRamp(z *zone) { c.setStandalone(z, Returning, standaloneFirstStep) }
 
-// standaloneTrialsFail reports whether attempts of the ramp are unanswered and a node refuses connections. A single
-// unanswered attempt may have another cause.
+// standaloneTrialsFail reports whether attempts of the ramp are unanswered and a node refuses connections. The refused
+// connection is required because a single unanswered attempt may have another cause.
 func (c *Controller) standaloneTrialsFail(z *zone) bool {
 	s, e := &z.standalone, &z.evidence
-	return s.verdict.State == Returning && e.unansweredRun >= 1 && e.lastUnansweredAt >= s.at && len(e.connectFailedNodes) > 0 &&
-		e.counts.unanswered+1 > (e.counts.inTime+e.counts.late)/3
+	return s.verdict.State == Returning && e.unansweredRun >= 1 && e.lastUnansweredAt >= s.at &&
+		len(e.connectFailedNodes) > 0 && e.counts.unanswered+1 > (e.counts.inTime+e.counts.late)/3
 }
 
-// standaloneStepDone reports whether a step of the ramp has lasted and has answers in time, or has lasted too long
-// for that.
+// standaloneStepDone reports whether a step of the ramp has lasted for RampStepTime and has enough responses in time, or
+// has lasted longer than maxStandaloneStepFactor allows.
 func (c *Controller) standaloneStepDone(z *zone) bool {
 	s, counts := &z.standalone, &z.evidence.counts
 	elapsed := c.now - s.at
@@ -151,7 +153,7 @@
 		(counts.inTime >= 1 && counts.late <= counts.inTime || elapsed >= maxStandaloneStepFactor*c.settings.RampStepTime)
 }
 
-// advanceStandaloneRamp goes on to the next step, or to service after the last one.
+// advanceStandaloneRamp starts the next step of the ramp, or returns the zone to service after the last step.
 func (c *Controller) advanceStandaloneRamp(z *zone) {
 	s := &z.standalone
 	if next := s.verdict.Step + 1; next < len(rampFractions) {
@@ -167,5 +169,5 @@
 	c.log("zone %s: in service again for this proxy; its first trial requests were answered, a false positive", z.name)
 }
 
-// StandaloneCounts returns the counts of standalone decisions since the start.
+// StandaloneCounts returns the numbers of standalone evacuations since the start.
 func (c *Controller) StandaloneCounts() StandaloneCounts { return c.standaloneCounts }
