--- a/zonehealth/fuzz_test.go
+++ b/zonehealth/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// FuzzReport checks that any report of a peer is ignored or taken without a fault, and that the reports of one peer
-// alone evacuate no zone.
+// FuzzReport checks that no report of a peer causes a panic, and that the reports of a single peer never evacuate a
+// zone.
 func FuzzReport(f *testing.F) {
 	valid, err := msgpack.Marshal(&zonehealth.Report{
 		Zone: "b", Vote: zonehealth.VoteUnhealthy, UnhealthyNodes: []uint32{1, 2},
@@ -38,7 +38,7 @@
 		}
 		for _, status := range controller.Statuses(4 * zonehealth.Second) {
 			if status.Verdict.State != zonehealth.InService || status.OpenShare != 1 {
-				t.Errorf("%+v: want state in, open share 1", status)
+				t.Errorf("got %+v, want state in, served fraction 1", status)
 			}
 		}
 	})
--- a/zonehealth/scenario_test.go
+++ b/zonehealth/scenario_test.go
@@ -17,28 +17,41 @@
 	reportTTL     = 5 * zonehealth.Second
 )
 
-// TestScenarios plays the files in scenarios, each with the controller of proxy a1 in zone a. A line is one of:
+// TestScenarios runs the files in scenarios, each with the controller of proxy a1 in zone a. MS is the time of an event
+// in milliseconds since the start; the controller ticks ten times a second until then. Each line is one of:
 //
-//	terms WORD=VALUE ...                 settings: apart, alone=no, region=NAME:ZONE,ZONE, zone=NAME
-//	MS nodes ZONE:N ... [cold=MS]        N more nodes in each zone, started so long before; without ZONE:N all are restarted
+//	terms WORD=VALUE ...                 settings: apart (without peers), alone=no (standalone decisions disabled),
+//	                                     region=NAME:ZONE,ZONE, zone=NAME (zone of this proxy)
+//	MS nodes ZONE:N ... [cold=MS]        adds N nodes in each zone, which were started cold milliseconds ago;
+//	                                     without ZONE:N, restarts all nodes
 //	MS fleet ZONE:N ... [away=NAME,...] [gone=NAME,...] [behind]
-//	                                     proxies a1, a2 ...; unreachable, departed; this one is catching up
+//	                                     sets the proxies a1, a2 ... of the fleet; away: unreachable proxies or zones,
+//	                                     gone: departed proxies or zones, behind: this proxy is catching up
 //	MS try ZONE N answered|late|nothing|undone|shut|reached [took=MS] [nodes=K]
-//	                                     outcomes of N attempts at the first K nodes in turn, or connections opened
+//	                                     N attempts with this outcome, in turn at the first K nodes of the zone;
+//	                                     nothing: unanswered, undone: canceled, shut: the connection failed,
+//	                                     reached: no attempt, but a connection was opened
 //	MS sent ZONE N                       N attempts without an outcome
-//	MS say ZONE NAME,... for|against|none [ill=K] [well=K] [fine=N] [late=N] [lost=N] [load=INFLIGHT/CAPACITY] [origin=SHARE]
-//	      [stand=EPOCH:STATE[:STEP[:FLAPS]]] [plan=...] [kept: the proposal retains the healthy nodes]
-//	                                     reports of proxies on a zone
+//	MS say ZONE NAME,... for|against|none [ill=K] [well=K] [fine=N] [late=N] [lost=N] [load=INFLIGHT/CAPACITY]
+//	      [origin=FRACTION] [stand=EPOCH:STATE[:STEP[:FLAPS]]] [plan=EPOCH:STATE[:STEP[:FLAPS]]] [kept]
+//	                                     reports of the named proxies on a zone: vote, number of unhealthy (ill) and
+//	                                     healthy (well) nodes, attempts in time (fine), late and unanswered (lost),
+//	                                     fraction of late origin fetches, verdict (stand) and proposal (plan);
+//	                                     kept: the proposal retains the healthy nodes
 //	MS order ZONE in|out|hold|auto EPOCH [force]
-//	MS load INFLIGHT CAPACITY            of this proxy
-//	MS ticks                             nothing but the ticks until then, ten a second
-//	> ZONE STATE [open=SHARE] [epoch=N] [flaps=N] [step=N] [kept=K] [alone] [barred=N]
-//	                                     status of a zone; kept: retained nodes, barred: excluded nodes
-//	> knocked N                          connect probes since the last such line
+//	                                     sets an override
+//	MS load INFLIGHT CAPACITY            sets the load of this proxy
+//	MS ticks                             no event
+//	> ZONE STATE [open=FRACTION] [epoch=N] [flaps=N] [step=N] [kept=K] [alone] [barred=N]
+//	                                     expects the status of a zone; open: served fraction, kept: retained nodes,
+//	                                     alone: standalone verdict, barred: excluded nodes
+//	> knocked N                          expects N connect probes since the last such line
 //	> spoke ZONE for|against|none [plan=STATE]
-//	                                     report published since the last such line
-//	> log WORDS                          a log text contains them
-//	> wrong ORDER... : WORDS             the check of an override returns a text with these words, or nothing
+//	                                     expects a report published since the last such line
+//	> log WORDS                          expects a log text that contains the words
+//	> wrong ZONE|REGION MODE [epoch=N] [force] : WORDS
+//	                                     expects CheckOverride to return a text that contains the words, or "" if
+//	                                     WORDS is nothing
 func TestScenarios(t *testing.T) {
 	testscript.RunFiles(t, "scenarios/*.txt", func(t *testing.T) testscript.Runner {
 		return &scenario{
@@ -49,12 +62,13 @@
 
 func scenarioSettings() zonehealth.Settings {
 	return zonehealth.Settings{
-		ProxyName: "a1", Zone: "a", ShortestObjective: 5000, SilenceTimeout: 3000, VoteShare: 0.2, ConfirmationTime: 2000, HoldDownTime: 20000, MaxHoldDownTime: 160000, RampStepTime: 10000,
-		SlowStartTime: 50000, SlowStartInitialFraction: 0.2, StandaloneEnabled: true,
+		ProxyName: "a1", Zone: "a", ShortestObjective: 5000, SilenceTimeout: 3000, VoteShare: 0.2, ConfirmationTime: 2000,
+		HoldDownTime: 20000, MaxHoldDownTime: 160000, RampStepTime: 10000, SlowStartTime: 50000,
+		SlowStartInitialFraction: 0.2, StandaloneEnabled: true,
 	}
 }
 
-// scenario plays one file.
+// scenario runs one scenario file. It implements testscript.Runner.
 type scenario struct {
 	t          *testing.T
 	line       int
@@ -84,7 +98,8 @@
 	}
 )
 
-// events are the lines that begin with an instant, by their second word. Each takes the words after it.
+// events holds the functions for lines that begin with a time, by their second word. The parameters of each are the
+// remaining words and the options among them.
 var events = map[string]func(s *scenario, words []string, options map[string]string){
 	"ticks": func(*scenario, []string, map[string]string) {},
 	"nodes": (*scenario).listNodes,
@@ -96,7 +111,7 @@
 	"order": (*scenario).setOverride,
 }
 
-// RunStep plays one line.
+// RunStep runs one line.
 func (s *scenario) RunStep(line int, words []string) {
 	s.line = line
 	options := testscript.ParseArguments(words[1:])
@@ -112,11 +127,11 @@
 	if event, known := events[words[1]]; known {
 		event(s, words[2:], options)
 	} else {
-		s.fail("unknown word %q", words[1])
+		s.fail("unknown event %q", words[1])
 	}
 }
 
-// Finish is called after the last line.
+// Finish does nothing. It is called after the last line.
 func (s *scenario) Finish() {}
 
 func (s *scenario) changeSettings(options map[string]string) {
@@ -135,7 +150,7 @@
 	}
 }
 
-// advance ticks until an instant. The first time it starts the controller.
+// advance calls Tick ten times a second until the given time. The first call of advance creates the controller.
 func (s *scenario) advance(until zonehealth.Time) {
 	if s.controller == nil {
 		s.now = scenarioStart
@@ -196,7 +211,7 @@
 	s.controller.SetFleet(s.now, proxies, options["behind"] != "")
 }
 
-// attemptedNodes are the indexes of the nodes at which the attempts of a line are, in turn.
+// attemptedNodes returns the indexes of the nodes to which the attempts of a line are sent in turn.
 func (s *scenario) attemptedNodes(zone string, options map[string]string) []int {
 	var indexes []int
 	for _, n := range s.nodes {
@@ -254,7 +269,7 @@
 	}
 }
 
-// newReport returns the report of a line, without nodes.
+// newReport returns the report that a line describes, without its node lists.
 func newReport(vote zonehealth.Vote, options map[string]string) zonehealth.Report {
 	number := func(key string) float32 { return float32(testscript.ParseNumber(options[key])) }
 	report := zonehealth.Report{
@@ -303,14 +318,14 @@
 func (s *scenario) expectLog(words []string) {
 	s.t.Helper()
 	if !strings.Contains(strings.Join(s.logs, "\n"), strings.Join(words, " ")) {
-		s.fail("log texts %q: want one with %q", s.logs, words)
+		s.fail("got log texts %q, want one that contains %q", s.logs, words)
 	}
 }
 
 func (s *scenario) expectProbes(want string) {
 	s.t.Helper()
 	if s.probes != integer(want) {
-		s.fail("%d connect probes, want %s", s.probes, want)
+		s.fail("got %d connect probes, want %s", s.probes, want)
 	}
 	s.probes = 0
 }
@@ -320,7 +335,7 @@
 	report, published := s.reports[zone]
 	if !published || report.Vote != vote || (proposed != "") != (report.Proposal != nil) ||
 		report.Proposal != nil && report.Proposal.State != states[proposed] {
-		s.fail("zone %s: published %v: %+v, proposal %+v", zone, published, report, report.Proposal)
+		s.fail("zone %s: unexpected report (published %v): %+v, proposal %+v", zone, published, report, report.Proposal)
 	}
 	delete(s.reports, zone)
 }
@@ -336,7 +351,7 @@
 	zones, override := s.settings.ZonesNamed(arguments[1]), zonehealth.OverrideModes[arguments[2]]
 	got := zonehealth.CheckOverride(s.controller.Statuses(s.now), zones, override, epoch, options["force"] != "")
 	if want == "nothing" && got != "" || want != "nothing" && !strings.Contains(got, want) {
-		s.fail("check of %q: %q, want %q", arguments, got, want)
+		s.fail("CheckOverride for %q: got %q, want %q", arguments, got, want)
 	}
 }
 
@@ -361,11 +376,12 @@
 		matches = matches && known && math.Abs(number-testscript.ParseNumber(value)) <= 0.001
 	}
 	if !matches {
-		s.fail("zone %s: %v %v, standalone %v, want %v; log texts %q", status.Name, status.Verdict.State, got, status.Standalone, words, s.logs)
+		s.fail("zone %s: got %v %v, standalone %v, want %v; log texts %q",
+			status.Name, status.Verdict.State, got, status.Standalone, words, s.logs)
 	}
 }
 
-// excludedNodes is how many nodes of a zone are excluded for a share of their keys.
+// excludedNodes returns the number of nodes in a zone that are excluded for any fraction of their keys.
 func (s *scenario) excludedNodes(zone string) int {
 	excluded := 0
 	for _, n := range s.nodes {
@@ -376,13 +392,13 @@
 	return excluded
 }
 
-// zoneCount is the word ZONE:N of a line.
+// zoneCount is a word of the form ZONE:N.
 type zoneCount struct {
 	zone  string
 	count int
 }
 
-// zoneCounts are the words ZONE:N of a line; others are left out.
+// zoneCounts returns the words of the form ZONE:N and ignores other words.
 func zoneCounts(words []string) []zoneCount {
 	var counts []zoneCount
 	for _, word := range words {
@@ -393,7 +409,7 @@
 	return counts
 }
 
-// parseVerdict reads EPOCH:STATE[:STEP[:FLAPS]], nil for an empty word.
+// parseVerdict parses a word of the form EPOCH:STATE[:STEP[:FLAPS]]. It returns nil for an empty word.
 func parseVerdict(word string) *zonehealth.Verdict {
 	if word == "" {
 		return nil
--- a/zonehealth/termination_test.go
+++ b/zonehealth/termination_test.go
@@ -7,8 +7,9 @@
 	"woodproxy/zonehealth"
 )
 
-// Two peers act on a verdict of an epoch that this proxy does not have, in service with a flap that is past its time:
-// one tick judges that to an end.
+// Two peers act on a verdict of a later epoch, in service with a flap that has expired for this proxy. The proxy follows
+// the verdict and clears the flap. If it then followed the peers in the flap again, the two rules would undo each other
+// endlessly.
 func TestJudgementEndsOnFlapsOfLaterEpoch(t *testing.T) {
 	settings := scenarioSettings()
 	controller := zonehealth.New(0, settings)
@@ -29,11 +30,11 @@
 	select {
 	case <-ended:
 	case <-time.After(300 * time.Millisecond):
-		t.Fatal("the tick does not end")
+		t.Fatal("Tick did not return within 300 ms")
 	}
 	for _, status := range controller.Statuses(now + 2) {
 		if status.Name == "b" && status.Verdict.Epoch != 7 {
-			t.Errorf("%+v: the peers' epoch is not followed", status)
+			t.Errorf("got %+v, want the peers' epoch 7", status)
 		}
 	}
 }
--- a/zonehealth/wire_golden_test.go
+++ b/zonehealth/wire_golden_test.go
@@ -8,8 +8,8 @@
 	"woodproxy/zonehealth"
 )
 
-// TestGoldenReports pins the encoding of the report on a zone, the body of a row of kind Voice. The names of the
-// cases are those of the golden file.
+// TestGoldenReports pins the encoding of Report, the body of a row of kind replica.KindZoneReport. The case names are
+// the keys of the golden file.
 func TestGoldenReports(t *testing.T) {
 	verdict := zonehealth.Verdict{Epoch: 70000, State: zonehealth.PartlyEvacuated, Step: 3, Flaps: 2, RetainedNodes: []uint32{0x01020304, 5}}
 	goldentest.Msgpack(t, "voices.golden", []goldentest.Value{
@@ -26,8 +26,8 @@
 	})
 }
 
-// TestWireNumbers pins the numbers that go on the wire: in a report the vote and the state, in an override's row the
-// rank.
+// TestWireNumbers pins the numbers that are sent on the wire: the vote and the state in a report, and the override mode,
+// which is the rank of an override's row. It also pins the unit of the times in a report.
 func TestWireNumbers(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -48,39 +48,39 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
-				t.Errorf("%d, want %d", c.got, c.want)
+				t.Errorf("got %d, want %d", c.got, c.want)
 			}
 		})
 	}
 }
 
-// TestOverrideNames pins the names by which operators override, and those under which overrides are shown.
+// TestOverrideNames pins the names of the override modes, both as operators enter them and as they are displayed.
 func TestOverrideNames(t *testing.T) {
 	for number, name := range []string{"auto", "in", "hold", "out"} {
 		t.Run(name, func(t *testing.T) {
 			want := zonehealth.OverrideMode(number)
 			if got, ok := zonehealth.OverrideModes[name]; !ok || got != want || want.String() != name {
-				t.Errorf("number %d (known %v), want %d; shown as %q", got, ok, want, want.String())
+				t.Errorf("got mode %d (known %v), want %d; displayed as %q", got, ok, want, want.String())
 			}
 		})
 	}
 	if len(zonehealth.OverrideModes) != 4 {
-		t.Errorf("%d overrides, want 4", len(zonehealth.OverrideModes))
+		t.Errorf("got %d override modes, want 4", len(zonehealth.OverrideModes))
 	}
 }
 
-// TestStateNames pins the names under which states are shown.
+// TestStateNames pins the displayed names of states.
 func TestStateNames(t *testing.T) {
 	for number, name := range []string{"in", "returning", "leaving", "out"} {
 		t.Run(name, func(t *testing.T) {
 			if got := zonehealth.State(number).String(); got != name {
-				t.Errorf("state %d: shown as %q, want %q", number, got, name)
+				t.Errorf("State(%d).String(): got %q, want %q", number, got, name)
 			}
 		})
 	}
 }
 
-// TestNodeNameHash pins the hash by which reports and verdicts name nodes.
+// TestNodeNameHash pins the hash that identifies nodes in reports and verdicts.
 func TestNodeNameHash(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -93,7 +93,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := zonehealth.NodeHash(c.node); got != c.want {
-				t.Errorf("%q: %#08x, want %#08x", c.node, got, c.want)
+				t.Errorf("NodeHash(%q): got %#08x, want %#08x", c.node, got, c.want)
 			}
 		})
 	}
