--- a/internal/server/zonehealth.go
+++ b/internal/server/zonehealth.go
@@ -150,7 +150,7 @@
 		state += " for others"
 	}
 	fmt.Fprintf(text, "zone %s %s epoch %d step %d flaps %d open %.3f nodes %d for %d s;",
-		zone.Name, state, zone.Verdict.Epoch, zone.Verdict.Step, zone.Verdict.Flaps, zone.OpenShare, zone.Nodes,
+		zone.Name, state, zone.Verdict.Epoch, zone.Verdict.Step, zone.Verdict.Flaps, zone.ServedFraction, zone.Nodes,
 		zone.VerdictAge/zonehealth.Second)
 	fmt.Fprintf(text, " %d against from %d zones, %d for;", zone.UnhealthyVotes, zone.UnhealthyVoteZones, zone.HealthyVotes)
 	fmt.Fprintf(text, " of %d that tried it since %d in time, %d late, %d unanswered",
--- a/internal/simnet/zonedfleet.go
+++ b/internal/simnet/zonedfleet.go
@@ -199,7 +199,7 @@
 
 // ServedFraction is the fraction of a zone's keys that a proxy serves there.
 func (z *ZonedFleet) ServedFraction(proxy, zone int) float64 {
-	return z.zoneStatus(proxy, zone).OpenShare
+	return z.zoneStatus(proxy, zone).ServedFraction
 }
 
 // Verdict is the verdict on a zone that a proxy acts on.
@@ -214,5 +214,5 @@
 			return status
 		}
 	}
-	return zonehealth.ZoneStatus{OpenShare: 1}
+	return zonehealth.ZoneStatus{ServedFraction: 1}
 }
--- a/zonehealth/fuzz_test.go
+++ b/zonehealth/fuzz_test.go
@@ -37,7 +37,7 @@
 			controller.Tick(now)
 		}
 		for _, status := range controller.Statuses(4 * zonehealth.Second) {
-			if status.Verdict.State != zonehealth.InService || status.OpenShare != 1 {
+			if status.Verdict.State != zonehealth.InService || status.ServedFraction != 1 {
 				t.Errorf("got %+v, want state in, served fraction 1", status)
 			}
 		}
--- a/zonehealth/override.go
+++ b/zonehealth/override.go
@@ -97,6 +97,6 @@
 // servesWithout reports whether a zone other than the named ones serves keys and has no override out.
 func servesWithout(statuses []ZoneStatus, names []string) bool {
 	return slices.ContainsFunc(statuses, func(s ZoneStatus) bool {
-		return s.Nodes > 0 && !slices.Contains(names, s.Name) && s.OpenShare > 0 && s.Override.Mode != OverrideOut
+		return s.Nodes > 0 && !slices.Contains(names, s.Name) && s.ServedFraction > 0 && s.Override.Mode != OverrideOut
 	})
 }
--- a/zonehealth/scenario_test.go
+++ b/zonehealth/scenario_test.go
@@ -365,7 +365,7 @@
 	}
 	status := &statuses[i]
 	got := map[string]float64{
-		"open": status.OpenShare, "epoch": float64(status.Verdict.Epoch), "flaps": float64(status.Verdict.Flaps), "step": float64(status.Verdict.Step),
+		"open": status.ServedFraction, "epoch": float64(status.Verdict.Epoch), "flaps": float64(status.Verdict.Flaps), "step": float64(status.Verdict.Step),
 		"kept": float64(len(status.Verdict.RetainedNodes)), "barred": float64(s.excludedNodes(status.Name)),
 	}
 	matches := status.Verdict.State.String() == words[1] && status.Standalone == (options["alone"] != "")
--- a/zonehealth/status.go
+++ b/zonehealth/status.go
@@ -6,7 +6,7 @@
 type ZoneStatus struct {
 	Name                         string
 	Nodes                        int
-	OpenShare                    float64  // fraction of its keys that the zone serves, 0 to 1
+	ServedFraction                    float64  // fraction of its keys that the zone serves, 0 to 1
 	Verdict                      Verdict  // verdict on which this proxy acts
 	Standalone                   bool     // this proxy has evacuated the zone standalone or is ramping it up
 	ServedLocally                bool     // not in service for the fleet, but responds to this proxy, which is in the zone
@@ -35,7 +35,7 @@
 func (c *Controller) status(z *zone) ZoneStatus {
 	v := &z.votes
 	return ZoneStatus{
-		Name: z.name, Nodes: z.nodes, OpenShare: z.servedFraction, Verdict: z.verdict,
+		Name: z.name, Nodes: z.nodes, ServedFraction: z.servedFraction, Verdict: z.verdict,
 		Standalone:    z.standalone.verdict.State != InService,
 		ServedLocally: z.verdict.State != InService && c.servedLocally(z),
 		Override:      z.override, UnhealthyVotes: v.unhealthy, HealthyVotes: v.healthy,
