--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if z := config.ZoneHealth; z.Zone != "a" || z.ProxyName != "n1" || z.VoteShare != 0.3 || len(z.Regions) != 1 {
+	if z := config.ZoneHealth; z.Zone != "a" || z.ProxyName != "n1" || z.VoteFraction != 0.3 || len(z.Regions) != 1 {
 		t.Fatalf("%+v", z)
 	}
 	for _, c := range []struct{ text, want string }{
--- a/internal/server/toml_golden_test.go
+++ b/internal/server/toml_golden_test.go
@@ -38,7 +38,7 @@
 		z := config.ZoneHealth
 		line("zone", z.Zone)
 		line("quiet_ms", zoneMilliseconds(z.SilenceTimeout))
-		line("voices", z.VoteShare)
+		line("voices", z.VoteFraction)
 		line("settle_ms", zoneMilliseconds(z.ConfirmationTime))
 		line("hold_ms", zoneMilliseconds(z.HoldDownTime))
 		line("most_hold_ms", zoneMilliseconds(z.MaxHoldDownTime))
--- a/internal/server/zonehealthfile.go
+++ b/internal/server/zonehealthfile.go
@@ -95,7 +95,7 @@
 		Regions:                  regions,
 		ShortestObjective:        shortest,
 		SilenceTimeout:           tenths[zonehealth.Time](f.QuietMS),
-		VoteShare:                f.ReportFraction,
+		VoteFraction:             f.ReportFraction,
 		ConfirmationTime:         tenths[zonehealth.Time](f.ConfirmationMS),
 		HoldDownTime:             tenths[zonehealth.Time](f.HoldDownMS),
 		MaxHoldDownTime:          tenths[zonehealth.Time](f.MaxHoldDownMS),
--- a/internal/simnet/zonedfleet.go
+++ b/internal/simnet/zonedfleet.go
@@ -70,7 +70,7 @@
 		Zone:                     z.ZoneOf(proxy),
 		ShortestObjective:        zonehealth.Second / 2,
 		SilenceTimeout:           3 * zonehealth.Second / 10,
-		VoteShare:                0.2,
+		VoteFraction:             0.2,
 		ConfirmationTime:         zonehealth.Second / 5,
 		HoldDownTime:             2 * zonehealth.Second,
 		MaxHoldDownTime:          60 * zonehealth.Second,
--- a/zonehealth/fleet.go
+++ b/zonehealth/fleet.go
@@ -84,7 +84,7 @@
 // requiredVotes returns the number of votes or proposals required for a decision of the fleet, given the number of
 // reachable proxies.
 func (c *Controller) requiredVotes(reachable int) int {
-	return min(max(minVotes, int(math.Ceil(c.settings.VoteShare*float64(reachable)))), maxVotes)
+	return min(max(minVotes, int(math.Ceil(c.settings.VoteFraction*float64(reachable)))), maxVotes)
 }
 
 // SetFleet sets the members of the fleet, including this proxy, and whether this proxy is still catching up with the
--- a/zonehealth/scenario_test.go
+++ b/zonehealth/scenario_test.go
@@ -62,7 +62,7 @@
 
 func scenarioSettings() zonehealth.Settings {
 	return zonehealth.Settings{
-		ProxyName: "a1", Zone: "a", ShortestObjective: 5000, SilenceTimeout: 3000, VoteShare: 0.2, ConfirmationTime: 2000,
+		ProxyName: "a1", Zone: "a", ShortestObjective: 5000, SilenceTimeout: 3000, VoteFraction: 0.2, ConfirmationTime: 2000,
 		HoldDownTime: 20000, MaxHoldDownTime: 160000, RampStepTime: 10000, SlowStartTime: 50000,
 		SlowStartInitialFraction: 0.2, StandaloneEnabled: true,
 	}
--- a/zonehealth/settings.go
+++ b/zonehealth/settings.go
@@ -8,9 +8,9 @@
 	// SilenceTimeout is the time without a response from a zone, with unanswered attempts, that leads to an unhealthy
 	// vote.
 	SilenceTimeout Time
-	// VoteShare is the fraction (0 to 1] of the reachable proxies outside a zone whose unhealthy votes are required for
+	// VoteFraction is the fraction (0 to 1] of the reachable proxies outside a zone whose unhealthy votes are required for
 	// its evacuation. At least two votes are required.
-	VoteShare float64
+	VoteFraction float64
 	// ConfirmationTime is the time for which a zone must be suspected before it is evacuated. In this time the votes of
 	// proxies that receive responses from the zone arrive.
 	ConfirmationTime Time
--- a/zonehealth/status.go
+++ b/zonehealth/status.go
@@ -6,7 +6,7 @@
 type ZoneStatus struct {
 	Name                         string
 	Nodes                        int
-	ServedFraction                    float64  // fraction of its keys that the zone serves, 0 to 1
+	ServedFraction               float64  // fraction of its keys that the zone serves, 0 to 1
 	Verdict                      Verdict  // verdict on which this proxy acts
 	Standalone                   bool     // this proxy has evacuated the zone standalone or is ramping it up
 	ServedLocally                bool     // not in service for the fleet, but responds to this proxy, which is in the zone
