--- a/zonehealth/exclusion.go
+++ b/zonehealth/exclusion.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// effectiveServedFraction returns the fraction of its keys that a zone serves. An override takes precedence. Otherwise it
-// is 1 if this proxy is in the zone and receives responses there, and else the lower of the fractions of the fleet's
-// verdict and the standalone verdict.
+// effectiveServedFraction returns the fraction of its keys that a zone serves. The overrides out and in take precedence.
+// Without them, the fraction is 1 if this proxy is in the zone and receives responses there, and otherwise the lower of
+// the fractions of the fleet's verdict and the standalone verdict.
 func (c *Controller) effectiveServedFraction(z *zone) float64 {
 	switch {
 	case z.override.Mode == OverrideOut:
