--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -2,11 +2,11 @@
 
 import "sync/atomic"
 
-// budget bounds how much there may be of a resource, such as sockets that are open to all hosts together, or bytes of
-// values. Any goroutine may use it.
+// budget limits the total use of a resource, such as the open sockets to all hosts or the bytes of values in memory.
+// Any goroutine may use it.
 type budget struct {
-	available atomic.Int64  // negative where more is used than there is since the budget was resized or exceeded
-	used      *atomic.Int64 // the counter that shows what is used
+	available atomic.Int64  // negative while use exceeds the budget, after resize or acquire
+	used      *atomic.Int64 // the exported counter of the amount in use
 }
 
 func newBudget(n int, used *atomic.Int64) *budget {
@@ -15,7 +15,7 @@
 	return b
 }
 
-// tryAcquire takes n, or nothing and returns false if there is less.
+// tryAcquire takes n from the budget and reports whether it succeeded. If less than n is available, it takes nothing.
 func (b *budget) tryAcquire(n int) bool {
 	if b.available.Add(int64(-n)) >= 0 {
 		b.used.Add(int64(n))
@@ -25,17 +25,18 @@
 	return false
 }
 
-// acquire counts n that is in use already, whether or not there is as much.
+// acquire counts n that is already in use, even if less than n is available.
 func (b *budget) acquire(n int) {
 	b.available.Add(int64(-n))
 	b.used.Add(int64(n))
 }
 
+// release returns n to the budget.
 func (b *budget) release(n int) {
 	b.available.Add(int64(n))
 	b.used.Add(int64(-n))
 }
 
-// resize changes the size by a difference. Nothing is taken back: where more is used than there is, tryAcquire fails
-// until enough is released.
-func (b *budget) resize(by int) { b.available.Add(int64(by)) }
+// resize changes the size of the budget by delta. It reclaims nothing: if more is in use than the new size allows,
+// tryAcquire fails until enough is released.
+func (b *budget) resize(delta int) { b.available.Add(int64(delta)) }
--- a/internal/proxy/call_queue.go
+++ b/internal/proxy/call_queue.go
@@ -2,28 +2,28 @@
 
 import "sync"
 
-// maxSpareCalls bounds the buffer that an idle queue keeps for its next calls.
+// maxSpareCalls is the maximum capacity, in calls, of the buffer that an idle queue retains for reuse.
 const maxSpareCalls = 4
 
-// callQueue holds calls that are carried out one at a time, in order, on a goroutine that runs only while there are
-// any. It is the mailbox of upstream hosts: there may be thousands of them, of which most are sent nothing, and what
-// one costs without calls is this structure. Any goroutine may post.
+// callQueue executes calls one at a time, in order, on a goroutine that runs only while calls are queued. It is the
+// mailbox of an upstream host. There may be thousands of hosts, most of which receive no requests, so an idle queue
+// costs no more than this structure. Any goroutine may post.
 type callQueue struct {
-	execute func(call func()) // carries out a call, and guards itself against panics
+	execute func(call func()) // executes a call, and must recover from panics in it
 
 	mu      sync.Mutex
-	calls   []func() // still to be carried out
-	running bool     // a goroutine carries out calls
+	calls   []func() // not yet executed
+	running bool     // a goroutine is executing calls
 }
 
-// post adds a call. It does not wait, and no call is lost.
+// post adds a call. It does not block and never drops a call.
 func (q *callQueue) post(call func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.addLocked(call)
 }
 
-// tryPost adds a call unless so many are waiting already, and returns whether it did.
+// tryPost adds a call unless limit calls are already queued, and reports whether it did.
 func (q *callQueue) tryPost(call func(), limit int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -34,6 +34,7 @@
 	return true
 }
 
+// addLocked adds a call and starts the goroutine if none is running. The caller holds q.mu.
 func (q *callQueue) addLocked(call func()) {
 	q.calls = append(q.calls, call)
 	if !q.running {
@@ -42,19 +43,20 @@
 	}
 }
 
-// run carries out calls until there are none.
+// run executes calls until the queue is empty.
 func (q *callQueue) run() {
 	var done []func()
 	for calls := q.take(done); len(calls) > 0; calls = q.take(done) {
 		for _, call := range calls {
 			q.execute(call)
 		}
-		clear(calls) // or the buffer would keep what the calls refer to
+		clear(calls) // otherwise the buffer would keep the values alive that the calls refer to
 		done = calls[:0]
 	}
 }
 
-// take returns all calls that wait, and leaves an empty buffer in their place. Where there are none the goroutine ends.
+// take returns all queued calls and leaves the empty buffer spare in their place. If no calls are queued, it marks the
+// goroutine as ended and returns nil.
 func (q *callQueue) take(spare []func()) []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/proxy/call_queue_test.go
+++ b/internal/proxy/call_queue_test.go
@@ -10,7 +10,8 @@
 	"woodproxy/internal/wire"
 )
 
-// Each server of the endpoint list had a goroutine and room for three thousand calls, whether or not anybody sent to it.
+// Guards against a goroutine and a mailbox with capacity for 3000 calls for each server of the endpoint list, even for
+// servers that receive no requests.
 func TestServersWithoutRequestsCostNoGoroutine(t *testing.T) {
 	const servers = 3200
 	router := newTestRouter()
@@ -21,62 +22,62 @@
 	before := runtime.NumGoroutine()
 	router.updateEndpoints(endpointUpdate{whole: true, origin: listKnownAtStart, targets: targets})
 	if n := runtime.NumGoroutine(); n > before+5 {
-		t.Errorf("%d goroutines for %d servers, %d before", n, servers, before)
+		t.Errorf("got %d goroutines for %d servers, had %d before", n, servers, before)
 	}
 	router.closeIdleConns()
 	if n := runtime.NumGoroutine(); n > before+5 {
-		t.Errorf("%d goroutines once idle connections are closed, where there is none", n)
+		t.Errorf("got %d goroutines after closeIdleConns without idle connections", n)
 	}
 }
 
-// A cancellation or an end that found the mailbox of its host full was dropped: calls wait however many there are, in
-// order, and only further attempts are turned away.
+// Guards against dropping the cancellation or the end of an attempt because the mailbox of its host is full. The queue
+// keeps any number of calls in order, and refuses only new attempts when it is too long.
 func TestCallsOfBusyHostAreNotLost(t *testing.T) {
 	const posted = 3 * maxHostCalls
 	busy, done := make(chan struct{}), make(chan struct{})
 	queue := callQueue{execute: func(call func()) { call() }}
 	queue.post(func() { <-busy })
-	var carriedOut []int
+	var executed []int
 	for i := range posted {
-		queue.post(func() { carriedOut = append(carriedOut, i) })
+		queue.post(func() { executed = append(executed, i) })
 	}
 	if queue.tryPost(func() {}, maxHostCalls) {
-		t.Error("an attempt is taken by a host that is this far behind")
+		t.Error("tryPost accepts an attempt for a host with a full queue")
 	}
 	queue.post(func() { close(done) })
 	close(busy)
 	<-done
-	for i, call := range carriedOut {
+	for i, call := range executed {
 		if call != i {
-			t.Fatalf("call %d was carried out as number %d", call, i)
+			t.Fatalf("call %d was executed at position %d", call, i)
 		}
 	}
-	if len(carriedOut) != posted {
-		t.Errorf("%d of %d calls were carried out", len(carriedOut), posted)
+	if len(executed) != posted {
+		t.Errorf("%d of %d calls were executed", len(executed), posted)
 	}
 }
 
-// Calls from many goroutines are carried out one at a time, none is lost while the queue's goroutine ends and begins
-// anew, and no goroutine and no large buffer stays.
-func TestCallQueueBeginsAndEndsWithItsCalls(t *testing.T) {
+// Calls from many goroutines are executed one at a time, and none is lost while the queue's goroutine ends and restarts.
+// Afterwards neither a goroutine nor a large buffer remains.
+func TestCallQueueGoroutineRunsOnlyWithCalls(t *testing.T) {
 	const posters, callsEach = 8, 2000
 	before := runtime.NumGoroutine()
-	carriedOut := 0 // the race detector sees calls that overlap
+	executed := 0 // not synchronized: the race detector reports calls that overlap
 	queue := callQueue{execute: func(call func()) { call() }}
 	var all, waiting sync.WaitGroup
 	all.Add(posters * callsEach)
 	for range posters {
 		waiting.Go(func() {
 			for range callsEach {
-				queue.post(func() { carriedOut++; all.Done() })
+				queue.post(func() { executed++; all.Done() })
 				runtime.Gosched()
 			}
 		})
 	}
 	waiting.Wait()
 	all.Wait()
-	if carriedOut != posters*callsEach {
-		t.Errorf("%d of %d calls were carried out", carriedOut, posters*callsEach)
+	if executed != posters*callsEach {
+		t.Errorf("%d of %d calls were executed", executed, posters*callsEach)
 	}
 	for end := time.Now().Add(time.Second); runtime.NumGoroutine() > before && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
@@ -84,11 +85,12 @@
 	queue.mu.Lock()
 	defer queue.mu.Unlock()
 	if queue.running || len(queue.calls) > 0 || cap(queue.calls) > maxSpareCalls {
-		t.Errorf("an idle queue runs: %v, holds %d calls and room for %d", queue.running, len(queue.calls), cap(queue.calls))
+		t.Errorf("idle queue: running %v, %d calls, capacity %d", queue.running, len(queue.calls), cap(queue.calls))
 	}
 }
 
-// Each whole list made every server not ready until its line was reached: attempts that began just then were refused.
+// Guards against marking every server as not ready while a complete endpoint list is applied, until its entry is
+// reached. Attempts that began in that interval were refused.
 func TestWholeListLeavesListedServersReady(t *testing.T) {
 	const servers, lists = 3200, 20
 	router := newTestRouter()
@@ -111,13 +113,13 @@
 		default:
 		}
 		if !last.ready.Load() {
-			t.Fatal("a server that is listed before and after is not ready meanwhile")
+			t.Fatal("a server that is in both the old and the new list is not ready during the update")
 		}
 	}
 }
 
-// A listed server took 24 KB and more: the operators' page allows 4 MB for each thousand.
-func TestListedServersTakeNoMoreMemoryThanThePageAllows(t *testing.T) {
+// Guards against listed servers that take 24 KB or more each. The operators' page documents 4 MB per thousand servers.
+func TestListedServersStayWithinDocumentedMemory(t *testing.T) {
 	const servers, maxBytesEach = 3200, 4 << 10
 	targets := make([]wire.Endpoint, servers)
 	for i := range targets {
@@ -131,14 +133,14 @@
 	runtime.KeepAlive(router)
 	t.Logf("%d bytes each", each)
 	if each > maxBytesEach {
-		t.Errorf("%d bytes for each of %d servers, over %d", each, servers, maxBytesEach)
+		t.Errorf("got %d bytes for each of %d servers, want at most %d", each, servers, maxBytesEach)
 	}
 }
 
-// liveHeap returns the bytes of the heap that are in use.
+// liveHeap returns the size of the live heap in bytes.
 func liveHeap() int64 {
 	runtime.GC()
-	runtime.GC() // what the first one has swept
+	runtime.GC() // completes the sweep of the first collection
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return int64(stats.HeapAlloc)
--- a/internal/proxy/mailbox.go
+++ b/internal/proxy/mailbox.go
@@ -6,13 +6,13 @@
 	"go.uber.org/zap"
 )
 
-// mailbox holds calls that a goroutine has still to carry out, in order.
+// mailbox is a queue of calls that its goroutine executes in order.
 type mailbox chan func()
 
-// post adds a call, and waits while the mailbox is full.
+// post adds a call. It blocks while the mailbox is full.
 func (m mailbox) post(call func()) { m <- call }
 
-// tryPost adds a call without waiting, and returns false if the mailbox is full.
+// tryPost adds a call without blocking. It returns false if the mailbox is full.
 func (m mailbox) tryPost(call func()) bool {
 	select {
 	case m <- call:
@@ -22,8 +22,8 @@
 	}
 }
 
-// run carries out calls, and a tick at each interval, for as long as the process lives. A panic ends the call that it
-// is in; ticks guard themselves.
+// run executes the calls, and tick at each interval, until the process exits. A panic in a call ends only that call; tick
+// must recover from its own panics.
 func (m mailbox) run(log *zap.Logger, counters *Counters, interval time.Duration, tick func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -37,7 +37,7 @@
 	}
 }
 
-// runRecovered carries out a call. A panic in it is logged and counted, and ends there; false is returned then.
+// runRecovered executes a call. It recovers from a panic in the call, logs and counts it, and returns false.
 func runRecovered(log *zap.Logger, counters *Counters, call func()) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
