--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -15,48 +15,48 @@
 )
 
 const (
-	maxPending              = 64                    // commands of one connection that may be without a reply
-	clientWriteTimeout      = stallTimeout          // for a client to accept one part of a reply
-	finalReadTimeout        = 10 * time.Millisecond // for bytes that have arrived already
-	hangupPollInterval      = 40 * time.Millisecond // between checks for a hang-up while nothing is read
-	minUploadBytesPerSecond = 128 << 10             // slower uploads of long values are not waited for
+	maxPending              = 64                    // maximum number of commands without a reply per connection
+	clientWriteTimeout      = stallTimeout          // limit for a client to accept one part of a reply
+	finalReadTimeout        = 10 * time.Millisecond // limit for reading bytes that have already arrived
+	hangupPollInterval      = 40 * time.Millisecond // interval between checks for a hang-up while nothing is read
+	minUploadBytesPerSecond = 128 << 10             // slower uploads of long values time out
 )
 
-// clientConn is one client's connection and its goroutine, which alone reads and writes there. Another goroutine that
-// has a reply for it marks the request ready and interrupts the reading by a deadline in the past.
+// clientConn is one client's connection. Only its own goroutine reads from it and writes to it. Another goroutine that
+// has a reply marks the request as ready and interrupts a blocked read by setting a deadline in the past.
 type clientConn struct {
 	listener        *Listener
 	conn            net.Conn
 	reader          *bufio.Reader
 	acceptedAt      time.Time
-	receivedCommand bool      // at least one whole command has been read
-	submitted       bool      // at least one request was handed to the router
-	discardBytes    int       // bytes still to come of a value that was not admitted
-	partialSince    time.Time // when the first byte of a command that is read in part came; zero: none is
-	finalReadUntil  time.Time // the time for this command is over, and what has arrived is read until then; zero: it is not
-	upload          *request  // a write whose value is being read, or nil
-	uploadRead      int       // bytes of that value and its line end so far
-	uploadDeadline  time.Time // until which each further byte extends the command's time
-	writeFailed     bool      // a reply could not be written, by which the client can't get any
+	receivedCommand bool      // at least one command has been read completely, except for its value
+	submitted       bool      // queuedTime has been called for the first request
+	discardBytes    int       // remaining bytes of a value that was not admitted
+	partialSince    time.Time // arrival of the first byte of a partially read command; zero if there is none
+	finalReadUntil  time.Time // deadline for reading bytes that arrived before the command timed out; zero before the timeout
+	upload          *request  // the write whose value is being read, or nil
+	uploadRead      int       // bytes read so far of that value and its line end
+	uploadDeadline  time.Time // until then, each read of a long value restarts the command timeout
+	writeFailed     bool      // a reply could not be written, so the client can't receive any other
 
 	mu              sync.Mutex
-	pending         []*request // in the order of their commands
-	requestedPhase  lifecycle.ClosePhase
+	pending         []*request           // requests without a written reply, in the order of their commands
+	requestedPhase  lifecycle.ClosePhase // the phase that other goroutines have requested
 	seenPhase       lifecycle.ClosePhase // the phase that the connection's goroutine has acted on
 	hadCommand      bool                 // at least one command was queued for a reply
-	hadRequest      bool                 // and at least one of them was proxied
-	answeredRequest bool                 // a proxied request was answered since the phase was last looked at
-	closed          bool                 // no reply can be written any more
-	midCommand      bool                 // a command has been read in part
-	lastActive      time.Time
-	replyReady      chan struct{} // of capacity 1: the first pending request may have become ready
+	hadRequest      bool                 // at least one proxied request was queued for a reply
+	answeredRequest bool                 // the reply to a proxied request was written since the last updatePhase
+	closed          bool                 // no further reply can be written
+	midCommand      bool                 // a command has been read partially
+	lastActive      time.Time            // time of the last updatePhase, which follows each read and each reply
+	replyReady      chan struct{}        // capacity 1; signals that the first pending request may be ready
 }
 
-// clientTimeouts are the times that a client has for its commands.
+// clientTimeouts are the time limits for a client's commands.
 type clientTimeouts struct {
-	firstCommand time.Duration // from accepting it to the first byte of its first command
-	command      time.Duration // from a command's first byte to its last
-	idle         time.Duration // without any command
+	firstCommand time.Duration // from accepting the connection to the first byte of its first command
+	command      time.Duration // from the first byte of a command to its last byte
+	idle         time.Duration // between commands
 }
 
 var defaultClientTimeouts = clientTimeouts{
@@ -65,14 +65,14 @@
 
 var (
 	errClosing        = errors.New("connection closing between commands")
-	errIdle           = errors.New("no command for the idle timeout")
+	errIdle           = errors.New("no command within the idle timeout")
 	errNoFirstCommand = errors.New("no first command in time")
-	errClientGone     = errors.New("client has closed the connection")
-	// errPartialCommand is told to the client: its text is part of the protocol.
+	errClientGone     = errors.New("client closed the connection")
+	// errPartialCommand is sent to the client. Its text is part of the protocol.
 	errPartialCommand = errors.New("a command that did not come whole in time")
 )
 
-// run serves the connection until it ends, and then gives up what it still owes.
+// run serves the connection until it ends, and then abandons the requests that are still pending.
 func (c *clientConn) run() {
 	reason := closedByPanic
 	runRecovered(c.listener.log, c.listener.counters, func() {
@@ -83,7 +83,7 @@
 	c.release(reason)
 }
 
-// serve reads commands and writes replies until the connection has to end, and returns why.
+// serve reads commands and writes replies until the connection has to end. It returns the cause.
 func (c *clientConn) serve() error {
 	for {
 		if err := c.flush(); err != nil {
@@ -114,7 +114,9 @@
 	return err
 }
 
-// finishServing ends the exchange of bytes with the client as the reason calls for.
+// finishServing ends the communication with the client according to the error that serve returned: with an error reply
+// after bad input or a command that was not complete in time, and by closing the sending side after a requested close or
+// another timeout.
 func (c *clientConn) finishServing(reason error) {
 	switch {
 	case errors.Is(reason, wire.ErrProtocol), errors.Is(reason, errPartialCommand):
@@ -123,13 +125,13 @@
 			zap.Error(reason), zap.Stringer("from", c.conn.RemoteAddr()))
 		c.closeWithError(reason)
 	case errors.Is(reason, errClosing) && c.hadCommand, errors.Is(reason, errIdle), errors.Is(reason, errNoFirstCommand):
-		c.endUnread() // a request that arrives just now goes unread, and the client retries it elsewhere
+		c.endUnread() // a request that arrives now is not read, and the client retries it elsewhere
 	}
 }
 
-// release closes the connection and gives up all requests that are still pending.
+// release closes the connection and abandons all requests that are still pending.
 func (c *clientConn) release(reason closeReason) {
-	_ = c.conn.Close() // nothing more is written or read; the client sees a failure as a reset
+	_ = c.conn.Close() // nothing is read or written afterwards; the client sees a failure as a reset
 	c.mu.Lock()
 	pending := c.pending
 	c.pending, c.closed = nil, true
@@ -147,7 +149,7 @@
 	c.listener.remove(c)
 }
 
-// closeWithError tells the client why its connection ends, after the replies that are still pending.
+// closeWithError writes the pending replies, then an error reply with the reason, and ends the sending side.
 func (c *clientConn) closeWithError(reason error) {
 	if c.upload != nil {
 		c.upload.release(c.listener)
@@ -169,13 +171,13 @@
 	c.endDiscarding()
 }
 
-// readLimit is until when more bytes are waited for (zero: without limit), and the error if none have come by then.
+// readLimit is the time limit for the next bytes from a client.
 type readLimit struct {
-	at  time.Time
-	err error
+	at  time.Time // zero: no limit
+	err error     // the cause of the close if no bytes have arrived by then
 }
 
-// readLimit returns how long the next bytes may take. A client may be silent without limit while replies are pending.
+// readLimit returns the limit that currently applies. A client that waits for replies between commands has no limit.
 func (c *clientConn) readLimit(hasPending bool) readLimit {
 	timeouts := &c.listener.timeouts
 	switch {
@@ -189,11 +191,11 @@
 	return readLimit{c.lastActive.Add(timeouts.idle), errIdle}
 }
 
-// deadlineError returns why the connection has to end if its time is up, and nil if the reading was interrupted for
-// another reason. What has arrived by then came in time and is read first, once for each command: one that drips on has
-// its time all the same.
+// deadlineError returns the cause of the close if a time limit has expired, and nil if the read was interrupted for
+// another reason. Bytes that have arrived by then are in time and are read first. This is done once per command, so that
+// a client that keeps sending single bytes can't exceed the limit.
 func (c *clientConn) deadlineError() error {
-	limit := c.passedLimit()
+	limit := c.expiredLimit()
 	if limit.err == nil {
 		return nil
 	}
@@ -207,8 +209,8 @@
 	return nil
 }
 
-// passedLimit returns the limit that has passed; one without an error if none has.
-func (c *clientConn) passedLimit() readLimit {
+// expiredLimit returns the limit that has expired. Its err is nil if none has.
+func (c *clientConn) expiredLimit() readLimit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if limit := c.readLimit(len(c.pending) > 0); limit.err != nil && !time.Now().Before(limit.at) {
@@ -217,8 +219,8 @@
 	return readLimit{}
 }
 
-// awaitReply waits until the next reply may be ready. Nothing is read meanwhile, so a hang-up is looked for: requests
-// of a client that has gone must not be sent to an upstream.
+// awaitReply waits until the next reply may be ready. Nothing is read in the meantime, so it polls for a hang-up:
+// requests of a client that has closed its connection must not be sent to an upstream.
 func (c *clientConn) awaitReply() error { return c.awaitEvent(c.replyReady) }
 
 // awaitEvent waits for an event, and returns errClientGone if the client hangs up first.
@@ -242,7 +244,7 @@
 	}
 }
 
-// conditions returns what decides on the connection's next step, with the phase that its goroutine has acted on.
+// conditions returns the conditions for the connection's next step, with the phase that its goroutine has acted on.
 func (c *clientConn) conditions() lifecycle.ClientConnConditions {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -257,13 +259,14 @@
 	return len(c.pending) > 0
 }
 
-// pendingFull reports whether as many commands as a connection may have are without a reply.
+// pendingFull reports whether the connection has the maximum number of commands without a reply.
 func (c *clientConn) pendingFull() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending) >= maxPending
 }
 
+// enqueue appends a request to the pending ones, whose replies are written in this order.
 func (c *clientConn) enqueue(req *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
