--- a/internal/proxy/client_read.go
+++ b/internal/proxy/client_read.go
@@ -11,13 +11,13 @@
 	"go.uber.org/zap"
 )
 
-// Commands that are proxied to an upstream; the proxy answers all others itself.
+// Commands that are proxied to an upstream. The proxy itself replies to all others.
 const (
 	commandGet = "KV.GET"
 	commandSet = "KV.SET"
 )
 
-// fillBuffer waits for more bytes than have been read, or until it is interrupted.
+// fillBuffer waits until more bytes have been read, or until it is interrupted.
 func (c *clientConn) fillBuffer() error {
 	if err := c.extendReadDeadline(); err != nil {
 		return err
@@ -32,8 +32,8 @@
 	return err
 }
 
-// extendReadDeadline sets the deadline of the next read, unless the connection was interrupted: the deadline in the
-// past has to stand then.
+// extendReadDeadline sets the deadline of the next read. If the connection was interrupted, it does nothing, because the
+// deadline in the past has to remain in effect.
 func (c *clientConn) extendReadDeadline() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,18 +48,18 @@
 	return c.conn.SetReadDeadline(limit)
 }
 
-// readUpload reads more of a value straight into its request.
+// readUpload reads more of a value directly into its request.
 func (c *clientConn) readUpload() error {
 	value := c.upload.value
 	n, err := c.reader.Read(value[c.uploadRead:cap(value)])
 	c.uploadRead += n
 	if now := time.Now(); n > 0 && cap(value) > wire.MaxBufferedValue+len(crlf) && now.Before(c.uploadDeadline) {
-		c.partialSince = now // a long value may take its time as long as it makes progress
+		c.partialSince = now // a long value may take longer while it makes progress
 	}
 	return err
 }
 
-// readCommands takes the commands that have been read whole, as many as may be pending.
+// readCommands processes the completely read commands until the maximum number of commands is pending.
 func (c *clientConn) readCommands() error {
 	for !c.pendingFull() {
 		err := c.readNext()
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// readNext takes the next command or the rest of its value. It returns wire.ErrShort if more bytes are needed.
+// readNext processes the next command or the rest of its value. It returns wire.ErrIncomplete if more bytes are needed.
 func (c *clientConn) readNext() error {
 	if err := c.discardValue(); err != nil {
 		return err
@@ -98,7 +98,7 @@
 	}
 	c.receivedCommand = true
 	if cmd.ValueLength < 0 {
-		c.markWhole()
+		c.markComplete()
 		if req != nil {
 			c.submit(req)
 		}
@@ -108,17 +108,18 @@
 	return nil
 }
 
-// markPartial notes that a command has been read in part.
+// markPartial records that a command has been read partially.
 func (c *clientConn) markPartial() {
 	if c.partialSince.IsZero() {
 		c.partialSince, c.finalReadUntil = time.Now(), time.Time{}
 	}
 }
 
-// markWhole notes that a command has been read to its end.
-func (c *clientConn) markWhole() { c.partialSince, c.finalReadUntil = time.Time{}, time.Time{} }
+// markComplete records that a command has been read completely.
+func (c *clientConn) markComplete() { c.partialSince, c.finalReadUntil = time.Time{}, time.Time{} }
 
-// discardValue drops the buffered part of a value that was not admitted. It returns wire.ErrShort if more is to come.
+// discardValue discards the buffered part of a value that was not admitted. It returns wire.ErrIncomplete if more bytes
+// of the value have yet to arrive.
 func (c *clientConn) discardValue() error {
 	if c.discardBytes == 0 {
 		return nil
@@ -131,12 +132,12 @@
 		c.markPartial()
 		return wire.ErrIncomplete
 	}
-	c.markWhole()
+	c.markComplete()
 	return nil
 }
 
-// beginValue prepares for a value of a length in bytes, which follows its command. The value is discarded if there is
-// no request to take it, or no memory for it.
+// beginValue prepares to read the value that follows a command; length is in bytes. The value is discarded if req is nil
+// or there is no memory for the value.
 func (c *clientConn) beginValue(req *request, length int) {
 	withLineEnd := length + len(crlf)
 	if req == nil {
@@ -156,7 +157,8 @@
 	c.uploadDeadline = time.Now().Add(c.listener.timeouts.command + transfer)
 }
 
-// finishUpload submits the write whose value is being read. It returns wire.ErrShort if a part is still to come.
+// finishUpload submits the write whose value is being read. It returns wire.ErrIncomplete if a part of the value has yet
+// to arrive.
 func (c *clientConn) finishUpload() error {
 	req := c.upload
 	if c.uploadRead < cap(req.value) {
@@ -168,13 +170,13 @@
 		return wire.ErrProtocol
 	}
 	req.value, c.upload = req.value[:n:n], nil
-	c.markWhole()
+	c.markComplete()
 	c.submit(req)
 	return nil
 }
 
-// beginCommand returns the request of a command that is proxied and admitted. Any other command is answered at once,
-// and nil is returned.
+// beginCommand returns the request of a command that is proxied and admitted. For any other command it queues a reply
+// and returns nil.
 func (c *clientConn) beginCommand(cmd *wire.Command) *request {
 	if !cmd.Is(commandGet) && !cmd.Is(commandSet) {
 		c.replyControl(cmd)
@@ -187,17 +189,17 @@
 	return newRequest(c, cmd)
 }
 
-// replyControl answers a command that is not proxied. PING waits until the proxy serves clients.
+// replyControl replies to a command that is not proxied. The reply to PING waits until the proxy serves clients.
 func (c *clientConn) replyControl(cmd *wire.Command) {
 	req := &request{conn: c}
 	c.enqueue(req)
 	if cmd.Is("PING") && c.awaitEvent(c.listener.ready) != nil {
-		return // the client has gone, as the next read reports
+		return // the client has closed its connection, as the next read reports
 	}
 	req.setReply(c.listener.controlReply(cmd))
 }
 
-// shedRequest answers a request for which there is no capacity.
+// shedRequest rejects a request for which there is no capacity.
 func (c *clientConn) shedRequest() {
 	c.listener.counters.Crowded.Add(1)
 	req := &request{conn: c, proxied: true}
@@ -205,8 +207,9 @@
 	req.reply(c.listener.counters, replyShed, nil, c.listener.retryAfterMS)
 }
 
-// queuedTime returns how long ago the last byte of a command has come that is read just now, where that can be long: the
-// first command of a connection may have waited with it in the listener's queue.
+// queuedTime returns the time since the last byte of the current command arrived, if this is the connection's first
+// request: it may have waited together with the connection in the listener's queue. It returns 0 for later requests,
+// which are read soon after they arrive.
 func (c *clientConn) queuedTime() time.Duration {
 	if c.submitted {
 		return 0
@@ -215,7 +218,7 @@
 	return sinceLastInput(c.conn)
 }
 
-// submit hands a request that has been read whole to the router, unless the proxy can answer it by itself.
+// submit passes a completely read request to the router, unless the proxy itself can reply to it.
 func (c *clientConn) submit(req *request) {
 	router := c.listener.router
 	c.enqueue(req)
--- a/internal/proxy/client_write.go
+++ b/internal/proxy/client_write.go
@@ -10,7 +10,7 @@
 
 var crlf = []byte("\r\n")
 
-// flush writes the replies that are ready, in order, and returns errClosing if the connection is to close after them.
+// flush writes the replies that are ready, in order. It returns errClosing if the connection has to close after them.
 func (c *clientConn) flush() error {
 	for {
 		ready := c.readyReplies()
@@ -18,7 +18,7 @@
 			break
 		}
 		if err := c.writeReplies(ready); err != nil {
-			return err // requests that are still pending are given up with the connection
+			return err // release abandons the requests that are still pending
 		}
 		c.removeWritten(ready)
 	}
@@ -28,17 +28,17 @@
 	return nil
 }
 
-// mayCloseBetweenCommands takes over the phase that was requested, and reports whether the connection is to close now.
+// mayCloseBetweenCommands adopts the requested phase and reports whether the connection has to close now.
 func (c *clientConn) mayCloseBetweenCommands() bool {
 	conditions := c.updatePhase()
 	if !conditions.MayClose().Permitted() {
 		return false
 	}
-	conditions.InputUnread = hasUnread(c.conn) // another request may have arrived meanwhile, and is answered first
+	conditions.InputUnread = hasUnread(c.conn) // another request may have arrived in the meantime and gets its reply first
 	return conditions.MayClose().Permitted()
 }
 
-// readyReplies returns the requests whose replies are next, up to and including the first that is a stream.
+// readyReplies returns the requests whose replies can be written next, up to and including the first one with a stream.
 func (c *clientConn) readyReplies() []*request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +49,7 @@
 	return slices.Clone(c.pending[:n])
 }
 
-// writeReplies gathers the replies into one write; the stream of the last one, if there is one, follows.
+// writeReplies writes the replies with one vectored write, followed by the stream of the last one, if it has one.
 func (c *clientConn) writeReplies(ready []*request) error {
 	out := make(net.Buffers, 0, 3*len(ready))
 	for _, req := range ready {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// writeStream passes a streamed value on to the client.
+// writeStream forwards a streamed value to the client.
 func (c *clientConn) writeStream(s *stream) error {
 	defer s.abandon()
 	hangupPoll := time.NewTicker(hangupPollInterval)
@@ -88,7 +88,7 @@
 				return err
 			}
 			s.empty <- chunk[:0]
-		case <-hangupPoll.C: // further requests may be pending behind this reply
+		case <-hangupPoll.C: // a hang-up must be detected, since further requests may be pending behind this reply
 			if hungUpByPeer(c.conn) {
 				return errClientGone
 			}
@@ -99,7 +99,7 @@
 // removeWritten releases requests whose replies have been written.
 func (c *clientConn) removeWritten(written []*request) {
 	c.mu.Lock()
-	c.pending = slices.Delete(c.pending, 0, len(written)) // which also clears the references to their values
+	c.pending = slices.Delete(c.pending, 0, len(written)) // also clears the references to their values
 	if slices.ContainsFunc(written, func(req *request) bool { return req.proxied }) {
 		c.answeredRequest = true
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-// updatePhase takes over the phase that was requested, and returns the conditions as of then.
+// updatePhase adopts the requested phase and returns the conditions at that time.
 func (c *clientConn) updatePhase() lifecycle.ClientConnConditions {
 	c.mu.Lock()
 	defer c.mu.Unlock()
