--- a/internal/proxy/client_end.go
+++ b/internal/proxy/client_end.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	lingerTimeout     = 200 * time.Millisecond // for the client to close its side after the last reply
-	lingerMaxBytes    = 256 << 10
-	minLingerInterval = 2 * time.Millisecond // between two looks whether it has
-	maxLingerInterval = 16 * time.Millisecond
+	lingerTimeout     = 200 * time.Millisecond // limit for the client to close its side after the last reply
+	lingerMaxBytes    = 256 << 10              // maximum number of bytes that discardInput reads
+	minLingerInterval = 2 * time.Millisecond   // first interval between checks for the client's close
+	maxLingerInterval = 16 * time.Millisecond  // longest interval between checks for the client's close
 )
 
-// closeSending ends the sending side, and reports whether that succeeded. No goroutine interrupts the connection any
-// more.
+// closeSending ends the sending side and reports whether that succeeded. Afterwards no goroutine interrupts the
+// connection.
 func (c *clientConn) closeSending() bool {
 	c.mu.Lock()
 	c.requestedPhase = lifecycle.PhaseStopReading
@@ -24,9 +24,9 @@
 	return ok && half.CloseWrite() == nil
 }
 
-// endUnread ends the sending side and waits for a moment for the client to close its own. Nothing is read any more: a
-// request that crosses the end is the client's to send again only if nobody has read it. A connection that is closed
-// over unread bytes is reset, so that it waits for longer where replies are still on their way to a slow client.
+// endUnread ends the sending side and waits up to lingerTimeout for the client to close its side. It reads nothing: a
+// client may resend a request that crosses the close only if the proxy has not read it. Closing a connection with unread
+// bytes resets it, so endUnread waits up to clientWriteTimeout while replies are still in transit to a slow client.
 func (c *clientConn) endUnread() {
 	if !c.closeSending() {
 		return
@@ -40,8 +40,8 @@
 	}
 }
 
-// closeLosesNothing reports whether no reply is lost if the connection is closed now. Where the system does not tell
-// what is still on its way, the unread bytes are taken off instead.
+// closeLosesNothing reports whether the connection can be closed now without losing a reply. If the system does not
+// report how many bytes are unsent, the unread bytes are discarded instead, so that the close causes no reset.
 func (c *clientConn) closeLosesNothing() bool {
 	if !hasUnread(c.conn) {
 		return true
@@ -53,18 +53,18 @@
 	return unsent == 0
 }
 
-// endDiscarding ends the sending side behind an error reply, and discards for a moment what still arrives: it is no
-// command, and the client reads the reply only once it has sent that.
+// endDiscarding ends the sending side after an error reply and discards the bytes that still arrive within
+// lingerTimeout. They are not commands, and the client reads the reply only after it has sent them.
 func (c *clientConn) endDiscarding() {
 	if c.closeSending() {
 		c.discardInput()
 	}
 }
 
-// discardInput reads and drops what arrives for a moment.
+// discardInput reads and discards up to lingerMaxBytes that arrive within lingerTimeout.
 func (c *clientConn) discardInput() {
 	if c.conn.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
-		return // without a deadline the client could hold the connection for ever
+		return // without a deadline the client could keep the connection open forever
 	}
-	_, _ = io.CopyN(io.Discard, c.conn, lingerMaxBytes) // ends by the deadline or the client's close, both as intended
+	_, _ = io.CopyN(io.Discard, c.conn, lingerMaxBytes) // ends at the deadline or the client's close; both are expected
 }
--- a/internal/proxy/close_reason.go
+++ b/internal/proxy/close_reason.go
@@ -8,18 +8,18 @@
 	"go.uber.org/zap"
 )
 
-// closeReason is why a client connection has ended.
+// closeReason is the reason why a client connection has ended.
 type closeReason uint8
 
 const (
-	closedByClient       closeReason = iota // it has closed its side, or the connection has failed
-	closedByPhase                           // by a drain, an eviction or the process's end
-	closedIdle                              // no command for the idle timeout
-	closedNoFirstCommand                    // no first command in time
-	closedPartialCommand                    // a command did not come whole in time
-	closedBadInput                          // what it sent is no command
-	closedStreamBroken                      // the value that was passed on broke off
-	closedByPanic                           // a mistake of this program
+	closedByClient       closeReason = iota // the client closed its side, or the connection failed
+	closedByPhase                           // closed by a drain, an eviction or the shutdown of the process
+	closedIdle                              // no command within the idle timeout
+	closedNoFirstCommand                    // no first command within its timeout
+	closedPartialCommand                    // a command was not complete within its timeout
+	closedBadInput                          // the client sent bytes that are not a command
+	closedStreamBroken                      // a streamed value ended early
+	closedByPanic                           // a bug in the proxy
 	numCloseReasons
 )
 
@@ -34,10 +34,10 @@
 	closedByPanic:        "panic",
 }
 
-// String returns the reason in logs and metrics.
+// String returns the name of the reason in logs and metrics.
 func (r closeReason) String() string { return closeReasonNames[r%numCloseReasons] }
 
-// closeReasonOf returns the reason by the error that ended the serving of a connection.
+// closeReasonOf returns the close reason for an error that serve returned.
 func closeReasonOf(err error) closeReason {
 	for _, known := range [...]struct {
 		err    error
@@ -57,7 +57,8 @@
 	return closedByClient
 }
 
-// recordClose counts why the connection has ended, and checks that no request is left without a reply by that.
+// recordClose counts the reason why the connection has ended, and checks that no request was left without a reply unless
+// the client closed the connection.
 func (c *clientConn) recordClose(reason closeReason, pending []*request) {
 	counters := c.listener.counters
 	counters.Closes[reason].Add(1)
@@ -70,7 +71,7 @@
 	if len(unanswered) == 0 || reason == closedByClient {
 		return
 	}
-	cutOff := reason == closedStreamBroken || c.writeFailed // which the client sees
+	cutOff := reason == closedStreamBroken || c.writeFailed // the client can detect the missing replies
 	counters.Invariants.ClientConnClosed(unanswered, cutOff, reason.String())
 	c.listener.log.Warn("client connection closed with requests unanswered",
 		zap.Stringer("reason", reason), zap.ByteStrings("ids", unanswered))
