--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -10,79 +10,79 @@
 	"woodproxy/internal/lifecycle"
 )
 
-// Counters count what the proxy takes in, sends and answers since its start. Each is printed and exported under the
-// name of its field, which operators know. Any goroutine may use them.
+// Counters count the connections, requests, attempts and replies of the proxy since its start. Each counter is printed
+// and exported under the name of its field, which operators rely on. Any goroutine may use them.
 type Counters struct {
-	Clients     atomic.Int64 // client connections that were accepted
-	ClientsOpen atomic.Int64 // and those that are open now
+	Clients     atomic.Int64 // accepted client connections
+	ClientsOpen atomic.Int64 // currently open client connections
 
 	Exchanges atomic.Int64 // requests that were read
-	Held      atomic.Int64 // requests that are held now
-	Crowded   atomic.Int64 // requests that were shed for want of capacity
-	Taken     atomic.Int64 // requests that were rejected, since another with their id is held
-	Left      atomic.Int64 // requests whose client has gone before the reply
+	Held      atomic.Int64 // requests that are currently held
+	Crowded   atomic.Int64 // requests that were shed for lack of capacity in the proxy
+	Taken     atomic.Int64 // requests that were rejected because another request with the same id is held
+	Left      atomic.Int64 // requests whose client closed its connection before the reply
 
-	Bytes   atomic.Int64 // of values that are held now, for upstreams and for clients
-	Passing atomic.Int64 // of streams' buffers now
+	Bytes   atomic.Int64 // bytes of values that are currently held for upstreams and clients
+	Passing atomic.Int64 // bytes that are currently in use by the buffers of streams
 	Flows   atomic.Int64 // values that were streamed
-	Broken  atomic.Int64 // streams that broke off
+	Broken  atomic.Int64 // streams that ended early
 
-	Completed atomic.Int64 // final replies with what the upstream has answered
-	Shed      atomic.Int64 // final replies that the request was shed
-	Errored   atomic.Int64 // final replies that the request has failed
-	Absent    atomic.Int64 // of the completed ones, those that the origin has no such key
+	Completed atomic.Int64 // final replies that carry the upstream's response
+	Shed      atomic.Int64 // final replies that report the request as shed
+	Errored   atomic.Int64 // final replies that report the request as failed
+	Absent    atomic.Int64 // completed requests whose key is absent at the origin
 
 	Tries     atomic.Int64                         // attempts
 	Cancelled atomic.Int64                         // attempts that were cancelled
-	Copies    atomic.Int64                         // attempts that began while another of their request was in flight
+	Copies    atomic.Int64                         // attempts that began while another one of the same request was in flight
 	Ends      [balancer.CacheMiss + 1]atomic.Int64 // ended attempts, by outcome
 
-	Dials        atomic.Int64 // connections to hosts that were dialed
-	UpstreamOpen atomic.Int64 // and those that are open now
+	Dials        atomic.Int64 // dialed connections to hosts
+	UpstreamOpen atomic.Int64 // currently open connections to hosts
 
-	Lists      atomic.Int64 // endpoint lists and changes from discovery
-	Watches    atomic.Int64 // watches that discovery has answered
-	PeerLists  atomic.Int64 // changes of the endpoint list that other proxies have told of
-	PeerSights atomic.Int64 // reports of other proxies on whether a host answers
+	Lists      atomic.Int64 // endpoint lists and list changes from discovery
+	Watches    atomic.Int64 // watches to which discovery has responded
+	PeerLists  atomic.Int64 // endpoint list changes from other proxies
+	PeerSights atomic.Int64 // reports from other proxies on whether a host responds
 
 	BadClient atomic.Int64 // client connections that were closed on bad input
 	BadPeer   atomic.Int64 // connections to hosts and discovery that were closed on bad input
 	Drains    atomic.Int64 // calls that took the proxy out of service
-	Panics    atomic.Int64 // that were recovered
+	Panics    atomic.Int64 // recovered panics
 
-	ZonesPassed atomic.Int64 // zones that were evacuated on this proxy's own evidence alone
-	ZonesHasty  atomic.Int64 // and those of them that answered the first health checks: false positives
+	ZonesPassed atomic.Int64 // zones that were evacuated on the evidence of this proxy alone
+	ZonesHasty  atomic.Int64 // those among ZonesPassed that responded to the first health checks: false positives
 
-	Reasons       [balancer.NumReasons]atomic.Int64   // attempts, by why they are sent
-	Rejections    [balancer.NumReasons]atomic.Int64   // final replies that the request was shed or has failed, by reason
-	Refusals      [lifecycle.NumRefusals]atomic.Int64 // attempts that were refused at the last moment, by reason
-	TracesOmitted atomic.Int64                        // requests whose trace was not logged, since there are too many
+	Reasons       [balancer.NumReasons]atomic.Int64   // attempts, by the reason why they are sent
+	Rejections    [balancer.NumReasons]atomic.Int64   // final replies that report a request as shed or failed, by reason
+	Refusals      [lifecycle.NumRefusals]atomic.Int64 // attempts that were refused right before they were sent, by reason
+	TracesOmitted atomic.Int64                        // requests whose trace was not logged because of the rate limit
 
 	Closes     [numCloseReasons]atomic.Int64 // client connections that ended, by reason
-	Invariants *invariant.Checker            // nil: nothing is checked
+	Invariants *invariant.Checker            // nil: no invariant is checked
 
-	LocalErrors LocalErrorCounter // system calls that failed for a reason of this machine
+	LocalErrors LocalErrorCounter // system calls that failed because of this machine
 
-	WallClockSteps     atomic.Int64 // times that the wall clock was seen to step
-	StateWriteFailures atomic.Int64 // writes of the state file that failed
+	WallClockSteps     atomic.Int64 // detected steps of the wall clock
+	StateWriteFailures atomic.Int64 // failed writes of the state file
 
-	// Where a shadow balancer would have decided the same, and where it would have
-	WatchSame    atomic.Int64
-	WatchNode    atomic.Int64 // sent to another host
-	WatchHeld    atomic.Int64 // waited where an attempt was sent, or the other way round
-	WatchGivenUp atomic.Int64 // ended a request that went on
-	WatchKept    atomic.Int64 // kept a request that was ended
-	WatchAnswer  atomic.Int64 // given the other final reply
-	WatchTold    atomic.Int64 // notified other proxies of a host
+	// Decisions of the shadow balancer, compared with those of the active balancer.
+	WatchSame    atomic.Int64 // the same decision
+	WatchNode    atomic.Int64 // an attempt to another host
+	WatchHeld    atomic.Int64 // waiting where the active balancer sent an attempt, or the reverse
+	WatchGivenUp atomic.Int64 // a final reply to a request that the active balancer continued
+	WatchKept    atomic.Int64 // continuing a request to which the active balancer sent the final reply
+	WatchAnswer  atomic.Int64 // another final reply
+	WatchTold    atomic.Int64 // notifications of other proxies about a host, which are not sent
 }
 
-// outcomeCounterNames are the names of Ends, in the order of the balancer's outcomes.
+// outcomeCounterNames are the printed names of the counters in Ends, in the order of the balancer's outcomes.
 var outcomeCounterNames = [balancer.CacheMiss + 1]string{
 	"EndCompleted", "EndFault", "EndNoRoom", "EndSilent", "EndUnreachable",
 	"EndCut", "EndUndone", "EndUnsent", "EndLacking",
 }
 
-// Each calls f with each counter's name and value, in a fixed order.
+// Each calls f with the name and value of each counter, in a fixed order.
 func (c *Counters) Each(f func(name string, value int64)) {
 	for _, n := range []struct {
 		name string
@@ -133,7 +133,7 @@
 	}
 }
 
-// String returns each counter with its name, a line each, as the INFO command prints them.
+// String returns one line with name and value per counter, as the INFO command prints them.
 func (c *Counters) String() string {
 	var s strings.Builder
 	c.Each(func(name string, value int64) { fmt.Fprintf(&s, "%s %d\n", name, value) })
--- a/internal/proxy/local_error.go
+++ b/internal/proxy/local_error.go
@@ -9,21 +9,22 @@
 	"woodproxy/internal/lifecycle"
 )
 
-// A connection that can't be opened for want of something on this machine is tried again after localRetryDelay, which
-// doubles each time, for localRetryTime at most. The balancer decides anew then: another server's connection may be open.
+// Retries of a dial that fails because of this machine. After localRetryTime the balancer decides again, since a
+// connection to another server may be open.
 const (
-	localRetryDelay = 5 * time.Millisecond
-	localRetryTime  = 40 * time.Millisecond
+	localRetryDelay = 5 * time.Millisecond  // delay before the first retry; doubles with each retry
+	localRetryTime  = 40 * time.Millisecond // maximum total time of the retries
 )
 
-// localErrnos are the errors of connect that say nothing of the server: this machine lacks ports, buffers or a route.
+// localErrnos are the errors of connect that are no evidence against the server: this machine lacks, for example, ports,
+// buffers or a route.
 var localErrnos = []syscall.Errno{
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENOBUFS,
 	syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.EACCES, syscall.EPERM, syscall.EINTR,
 }
 
-// isLocalError reports whether a connection could not be opened for a reason of this machine. All calls but connect fail
-// for such reasons only.
+// isLocalError reports whether opening a connection failed because of this machine. System calls other than connect fail
+// only for local reasons.
 func isLocalError(err error) bool {
 	var call *os.SyscallError
 	if !errors.As(err, &call) {
@@ -40,8 +41,8 @@
 	return false
 }
 
-// dialWithRetry opens the connection. Where that fails for a reason of this machine it tries again for a moment, as long
-// as the attempt may still begin.
+// dialWithRetry opens the connection. If that fails because of this machine, it retries for up to localRetryTime while
+// the attempt may still begin.
 func (u *upstreamConn) dialWithRetry(attempt *attempt, until time.Time) error {
 	began, delay := time.Now(), localRetryDelay
 	for {
--- a/internal/proxy/local_error_counter.go
+++ b/internal/proxy/local_error_counter.go
@@ -9,23 +9,22 @@
 	"syscall"
 )
 
-// SystemCallError names a system call and how it failed.
+// SystemCallError is a kind of system call failure.
 type SystemCallError struct {
-	Call  string
+	Call  string // name of the system call
 	Errno syscall.Errno
 }
 
-// maxCountedErrors bounds how many kinds of errors are told apart; others are counted as one.
+// maxCountedErrors is the number of kinds of errors that are counted separately. All others are counted as one kind.
 const maxCountedErrors = 64
 
-// LocalErrorCounter counts system calls that failed for a reason of this machine, by call and error. Any goroutine may
-// use it.
+// LocalErrorCounter counts system calls that failed because of this machine, by call and error. Any goroutine may use it.
 type LocalErrorCounter struct {
 	mu     sync.Mutex
 	counts map[SystemCallError]int64
 }
 
-// count adds the system call error in a chain, if there is one.
+// count counts the system call error in the chain of err, if there is one.
 func (c *LocalErrorCounter) count(err error) {
 	var call *os.SyscallError
 	var errno syscall.Errno
@@ -44,7 +43,7 @@
 	c.counts[key]++
 }
 
-// Each calls f for each kind of error, in a fixed order.
+// Each calls f with each kind of error and its count, in a fixed order.
 func (c *LocalErrorCounter) Each(f func(kind SystemCallError, count int64)) {
 	c.mu.Lock()
 	kinds := make([]SystemCallError, 0, len(c.counts))
