--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -8,27 +8,29 @@
 	"go.uber.org/zap"
 )
 
-// The steps of a drain, counted from the call. Who distributes connections polls the proxy's state every so often and
-// goes on for a moment by its last answer; clients go on using the connections that stay open.
+// Steps of a drain, in units of drainInterval since the call of OutOfService. The component that distributes client
+// connections polls the proxy's state at intervals and acts on the last reply for a moment. Clients continue to use the
+// connections that stay open.
 const (
 	drainInterval       = 100 * time.Millisecond
-	closeAfterReplyStep = 4  // from here on a connection is closed after its next reply
-	closeIdleStep       = 14 // idle connections are closed too
-	stopReadingStep     = 24 // and no further command is read
-	recentActivity      = 5 * drainInterval
-	minAgeToStopReading = stopReadingStep * drainInterval
+	closeAfterReplyStep = 4                               // from here on, a connection is closed after its next reply
+	closeIdleStep       = 14                              // from here on, idle connections are closed too
+	stopReadingStep     = 24                              // from here on, no further command is read
+	recentActivity      = 5 * drainInterval               // activity within this time keeps a connection from being closed
+	minAgeToStopReading = stopReadingStep * drainInterval // younger connections are not moved to PhaseStopReading
 )
 
 // DrainSchedule is the drain schedule of a proxy that stops, as times since the closing of the listener. Clients retry
-// elsewhere what they have sent and was not read by the last of them.
+// the requests that are still unread at StopReading through another proxy.
 type DrainSchedule struct {
-	CloseAfterReply time.Duration // from here on a connection is closed after its next reply
-	CloseIdle       time.Duration // from here on idle connections are closed too
-	StopReading     time.Duration // from here on no further command is read
+	CloseAfterReply time.Duration // from here on, a connection is closed after its next reply
+	CloseIdle       time.Duration // from here on, idle connections are closed too
+	StopReading     time.Duration // from here on, no further command is read
 }
 
-// OutOfService begins to drain: clients are sent away, and the proxy goes on running. It returns false if it drains
-// already. It waits for no other goroutine's work, so that an operator is answered however busy the proxy is.
+// OutOfService starts a drain: client connections are closed step by step while the proxy keeps running. It returns
+// false if a drain is already in progress. It does not wait for the work of other goroutines, so that an operator gets a
+// reply no matter how busy the proxy is.
 func (l *Listener) OutOfService() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,7 +44,8 @@
 	return true
 }
 
-// InService ends the drain, and returns false if there was none. Connections that were told to close still do.
+// InService ends the drain. It returns false if there was none. Connections that were already moved to a closing phase
+// still close.
 func (l *Listener) InService() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,12 +60,12 @@
 	return true
 }
 
-// advanceDrain takes the drain's next step, and schedules the one after it.
+// advanceDrain executes the next step of the drain and schedules the one after it.
 func (l *Listener) advanceDrain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.outOfService.Load() {
-		return // the drain has ended meanwhile
+		return // the drain has ended in the meantime
 	}
 	if l.drainStep++; l.drainStep == closeAfterReplyStep {
 		l.phase = max(l.phase, lifecycle.PhaseCloseAfterReply)
@@ -77,8 +80,8 @@
 	l.drainTimer.Reset(drainInterval)
 }
 
-// drainPhase returns the phase that the current step of the drain asks of a connection. One that only polls the proxy's
-// state (by PING) is left open as long as it does.
+// drainPhase returns the phase that the current step of the drain requires for a connection. A connection that only polls
+// the proxy's state by PING stays open while it keeps polling.
 func (l *Listener) drainPhase(c *clientConn, now time.Time) lifecycle.ClosePhase {
 	s := c.state()
 	recentlyActive := now.Sub(s.lastActive) < recentActivity
@@ -93,8 +96,9 @@
 	return lifecycle.PhaseOpen
 }
 
-// Close accepts no further client, closes the connections by the schedule, and returns when all have ended or at the
-// given time. If soleOwner is set no other process has the listener, and the clients in its queue are served before.
+// Close stops accepting clients and closes the connections according to the schedule. It returns when all connections
+// have ended, or at the time until. If soleOwner is set, no other process has the listener, and the clients in its queue
+// are accepted and served first.
 func (l *Listener) Close(until time.Time, soleOwner bool, schedule DrainSchedule) {
 	began := time.Now()
 	l.mu.Lock()
@@ -116,10 +120,10 @@
 	l.awaitConnsEnded(until)
 }
 
-// awaitConnsEnded waits until no connection is accepted any more and all have ended, or until the given time.
+// awaitConnsEnded waits until accepting has ended and all connections have ended, or until the given time.
 func (l *Listener) awaitConnsEnded(until time.Time) {
 	defer time.AfterFunc(time.Until(until), l.connsChanged.Broadcast).Stop()
-	select { // else a connection that is being accepted would be missed
+	select { // otherwise a connection that is being accepted would be missed
 	case <-l.acceptDone:
 	case <-time.After(time.Until(until)):
 	}
@@ -130,13 +134,13 @@
 	}
 }
 
-// mayExitLocked reports whether the process may exit, which it has to at the given time. The caller holds l.mu.
+// mayExitLocked reports whether the process may exit. From the time until on, it has to. The caller holds l.mu.
 func (l *Listener) mayExitLocked(until time.Time) bool {
 	conditions := lifecycle.ExitConditions{OpenConnections: len(l.conns), DeadlineExceeded: !time.Now().Before(until)}
 	return conditions.MayExit().Permitted()
 }
 
-// requestPhaseAll moves all connections, and those that are still to be accepted, to a closing phase for good.
+// requestPhaseAll permanently moves all connections, including those that are accepted later, to a closing phase.
 func (l *Listener) requestPhaseAll(phase lifecycle.ClosePhase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// idleGrace is how long a client may be inactive before it counts as one that asks for nothing.
+	// idleGrace is the time for which a client may be inactive before it counts as idle.
 	idleGrace = 100 * time.Millisecond
-	// partialGrace is how long a client may stop amid a command before clients that keep asking are closed instead.
+	// partialGrace is the time for which a client may send nothing after connecting, or pause in the middle of a command,
+	// before the first eviction rule of its class applies.
 	partialGrace = time.Second
 )
 
-// evictionClass sorts client connections by what closing one costs its client.
+// evictionClass classifies client connections by the cost of closing one to its client.
 type evictionClass uint8
 
 const (
 	classSilent     evictionClass = iota // has sent nothing yet
 	classIdle                            // between commands
-	classMidCommand                      // has sent a command in part
-	evictionClasses
+	classMidCommand                      // has sent a command partially
+	numEvictionClasses
 )
 
-// evictionRules are tried in order: the first whose candidate has been inactive for long enough decides. Clients that
-// have sent nothing come first; then who has been idle longest, which costs a client no more than a new connection;
-// then who stopped amid a command, since some take their time. So crowds that say nothing, ask once and stay, or stop
-// amid a command push out themselves and not the clients that are served.
+// evictionRules are applied in order: the first one whose candidate has been inactive for at least minInactive decides.
+// Clients that have sent nothing come first. Next is the client that has been idle longest, because closing its
+// connection costs it no more than a new connection. Clients that paused in the middle of a command come third, because
+// some clients are slow. This way, many clients that send nothing, send one request and stay connected, or stop in the
+// middle of a command displace each other and not the clients that are being served.
 var evictionRules = [...]struct {
 	class       evictionClass
 	minInactive time.Duration
@@ -41,24 +43,25 @@
 	{classMidCommand, 0, lifecycle.PhaseStopReading},
 }
 
-// eviction is a connection that is to be closed, and how.
+// eviction is a connection to be closed and the phase to request for it.
 type eviction struct {
-	conn  *clientConn
+	conn  *clientConn // nil: there is none
 	phase lifecycle.ClosePhase
 }
 
-// evictionCandidate is the closable connection of a class that has been inactive longest.
+// evictionCandidate is the closable connection that has been inactive longest in its class.
 type evictionCandidate struct {
 	conn       *clientConn // nil: there is none
 	lastActive time.Time
 }
 
+// inactive returns the time for which the candidate has been inactive.
 func (e *evictionCandidate) inactive(now time.Time) time.Duration { return now.Sub(e.lastActive) }
 
-// connCensus counts a listener's connections that are not about to close, and holds a candidate of each class.
+// connCensus counts the connections of a listener that are not about to close, and holds the candidate of each class.
 type connCensus struct {
 	staying, silent, served int
-	candidates              [evictionClasses]evictionCandidate
+	candidates              [numEvictionClasses]evictionCandidate
 }
 
 func (s connState) evictionClass() evictionClass {
@@ -87,11 +90,11 @@
 	}
 }
 
-// nearLimit is the share of the connection limit from which on connections are closed to admit new ones.
+// nearLimit returns the number of connections from which on connections are closed to admit new ones.
 func nearLimit(maxConns int) int { return maxConns * 9 / 10 }
 
-// chooseEviction returns the connection that can best be done without; its conn is nil if enough are about to close
-// already. The caller holds l.mu.
+// chooseEviction returns the connection whose close costs its client least. Its conn is nil if enough connections are
+// already about to close, or none can be closed. The caller holds l.mu.
 func (l *Listener) chooseEviction(now time.Time) eviction {
 	var census connCensus
 	for c := range l.conns {
@@ -104,7 +107,7 @@
 	if census.staying < nearLimit(l.maxConns) {
 		return eviction{}
 	}
-	manySilent := census.silent >= l.maxConns/4 // who are closed without any grace then
+	manySilent := census.silent >= l.maxConns/4 // which are then closed without a grace period
 	for _, rule := range evictionRules {
 		candidate := &census.candidates[rule.class]
 		if candidate.conn == nil {
