--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -17,9 +17,10 @@
 )
 
 const (
-	// requestOverheadBytes is the memory of a request without its value, with its share of a connection's buffers.
+	// requestOverheadBytes is the memory of a request without its value, including its part of a connection's buffers.
 	requestOverheadBytes = 32 << 10
-	// finalAcceptTimeout is how long the last Accept waits that finds the listener's queue empty, as it closes.
+	// finalAcceptTimeout is the time limit of each Accept while the listener closes. An Accept that reaches it has found
+	// the listener's queue empty.
 	finalAcceptTimeout = time.Millisecond
 	acceptRetryDelay   = 5 * time.Millisecond
 	clientReadBuffer   = 4 << 10 // bytes; the longest command without its value
@@ -31,39 +32,39 @@
 	SetDeadline(time.Time) error
 }
 
-// Listener is the listener: it accepts client connections, bounds how many there are, and closes them when the proxy
-// drains or stops. Its methods may be called from any goroutine, but for those that say otherwise.
+// Listener accepts client connections, limits their number, and closes them when the proxy drains or stops. Its methods
+// may be called from any goroutine unless documented otherwise.
 type Listener struct {
 	ln                 deadlineListener
 	router             *Router
 	counters           *Counters
 	log                *zap.Logger
 	timeouts           clientTimeouts
-	retryAfterMS       int           // told to clients whose request finds no capacity, in milliseconds; 0: nothing
-	ready              chan struct{} // closed when clients are served
+	retryAfterMS       int           // Retry-After for requests that are shed for lack of capacity, in milliseconds; 0: none
+	ready              chan struct{} // closed by Open, when clients are served
 	acceptDone         chan struct{} // closed when Run has ended, with all accepted connections in conns
-	memoryMB           int           // of the budgets below
-	maxRequests        atomic.Int64  // requests that may be held at once
-	reservedValueBytes atomic.Int64  // value memory that long writes leave to other requests
-	outOfService       atomic.Bool   // clients are sent away
+	memoryMB           int           // memory from which the budgets are computed, in MiB
+	maxRequests        atomic.Int64  // maximum number of requests that are held at once
+	reservedValueBytes atomic.Int64  // value memory that long writes leave to other requests, in bytes
+	outOfService       atomic.Bool   // a drain by OutOfService is in progress
 
 	mu             sync.Mutex
 	maxConns       int
-	maxServedConns int                  // how many of them may be left open to clients that have been served
+	maxServedConns int                  // maximum number of connections that stay open to clients that have been served
 	paused         bool                 // another process accepts connections
-	closed         bool                 // no further connection is accepted
-	soleOwner      bool                 // no other process has the listener; set before closed
-	backlogUntil   time.Time            // until when clients in the queue are accepted; set before closed
-	stopping       bool                 // the proxy stops, and drains for good
-	phase          lifecycle.ClosePhase // of connections that are accepted from now on
+	closed         bool                 // no further connection is accepted, except from the queue
+	soleOwner      bool                 // no other process has the listener; valid once closed is set
+	backlogUntil   time.Time            // until then clients in the queue are accepted; valid once closed is set
+	stopping       bool                 // the proxy stops, and phase never goes back
+	phase          lifecycle.ClosePhase // initial phase of newly accepted connections
 	drainTimer     *time.Timer
-	drainStep      int                      // steps of the drain that have been taken
-	conns          map[*clientConn]struct{} // connections remove themselves as they end
-	connsChanged   *sync.Cond               // a connection has ended, or a limit has changed
+	drainStep      int                      // number of executed steps of the drain
+	conns          map[*clientConn]struct{} // open connections; each removes itself when it ends
+	connsChanged   *sync.Cond               // signals that a connection has ended or that a limit or flag has changed
 }
 
-// NewListener returns a listener that accepts clients on ln for router. memoryMB, in MiB, bounds the requests and values
-// that are held. It accepts none before SetLimits and Run are called.
+// NewListener returns a listener that accepts clients on ln and passes their requests to router. memoryMB, in MiB, limits
+// the requests and values that are held. The listener accepts no client before SetLimits and Run are called.
 func NewListener(ln deadlineListener, router *Router, memoryMB int, counters *Counters, log *zap.Logger) *Listener {
 	l := &Listener{
 		ln: ln, router: router, counters: counters, log: log,
@@ -77,9 +78,9 @@
 	return l
 }
 
-// SetMemory sets the memory budgets by the memory there is, in MiB: an eighth is for requests, a quarter for the values
-// that they hold, and an eighth for streamed values. Values are counted at their length, since to count each at the
-// longest would admit few requests where memory is small. Calls must not overlap.
+// SetMemory sets the memory budgets for the given memory in MiB: one eighth is for requests, a quarter for the values
+// that they hold, and one eighth for streamed values. Values are counted at their actual length, because counting each at
+// the maximum length would admit few requests when memory is small. Calls must not overlap.
 func (l *Listener) SetMemory(memoryMB int) {
 	l.maxRequests.Store(min(int64(memoryMB)<<20/8/requestOverheadBytes, maxRequestsInFlight))
 	l.router.valueMemory.resize((memoryMB - l.memoryMB) << 20 / 4)
@@ -88,7 +89,7 @@
 	l.reservedValueBytes.Store(int64(memoryMB) << 20 / 8)
 }
 
-// admitRequest reports whether there is capacity for another request, which then counts as held.
+// admitRequest reports whether there is capacity for another request. If so, it counts the request as held.
 func (l *Listener) admitRequest() bool {
 	l.counters.Exchanges.Add(1)
 	if l.counters.Held.Add(1) > l.maxRequests.Load() || l.router.valueMemory.available.Load() <= 0 {
@@ -98,13 +99,13 @@
 	return true
 }
 
-// admitsLongValue reports whether a long value of n bytes may be written. Half of the value memory stays for the
-// others, or a few such writes would have everybody else shed.
+// admitsLongValue reports whether a write of a long value of n bytes is admitted. Half of the value memory is reserved
+// for other requests. Otherwise a few long writes would cause all others to be shed.
 func (l *Listener) admitsLongValue(n int) bool {
 	return l.router.valueMemory.available.Load()-int64(n) >= l.reservedValueBytes.Load()
 }
 
-// Open has PING answered from now on, by which clients see that they are served. It may be called once.
+// Open enables replies to PING, which tell clients that the proxy serves them. It may be called only once.
 func (l *Listener) Open() { close(l.ready) }
 
 // Opened reports whether Open was called.
@@ -117,7 +118,8 @@
 	}
 }
 
-// Run accepts clients until Close, and then those that still wait in the listener's queue if no other process does.
+// Run accepts clients until Close is called. If no other process has the listener, it then accepts the clients that
+// still wait in the listener's queue.
 func (l *Listener) Run() {
 	defer close(l.acceptDone)
 	if !l.acceptUntilClosed() {
@@ -125,13 +127,14 @@
 	}
 	l.acceptBacklog()
 	if err := l.ln.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		l.log.Warn("close listener", zap.Error(err))
+		l.log.Warn("closing the listener failed", zap.Error(err))
 	}
 }
 
-// acceptUntilClosed returns true once the listener is to close, and false if somebody else has closed it.
+// acceptUntilClosed accepts clients. It returns true when Close has been called, and false if the network listener was
+// closed before.
 func (l *Listener) acceptUntilClosed() bool {
-	lastError := "" // so that a series of equal errors is one line in the log
+	lastError := "" // so that a series of equal errors is logged once
 	for l.awaitCapacity() {
 		conn, err := l.ln.Accept()
 		switch {
@@ -142,7 +145,7 @@
 			time.Sleep(capacityPollInterval / 2)
 		case errors.Is(err, net.ErrClosed):
 			return false
-		default: // for want of file descriptors, as a rule: clients in the queue are accepted once there are some
+		default: // usually no file descriptors are left; clients stay in the queue and are accepted when there are some
 			l.counters.LocalErrors.count(err)
 			if text := errorText(err); text != lastError {
 				l.log.Warn("accept failed", zap.Error(err))
@@ -154,8 +157,9 @@
 	return true
 }
 
-// acceptBacklog accepts the clients that wait in the queue, which would be reset with the listener. Where accepting
-// fails they are still there, and it is tried again for as long as commands of theirs would be read.
+// acceptBacklog accepts the clients that wait in the listener's queue. Closing the listener would reset them. If Accept
+// fails, they are still in the queue, and acceptBacklog retries until backlogUntil, the time from which on their commands
+// would not be read.
 func (l *Listener) acceptBacklog() {
 	for l.canAcceptBacklog() {
 		if l.ln.SetDeadline(time.Now().Add(finalAcceptTimeout)) != nil {
@@ -165,7 +169,7 @@
 		switch {
 		case err == nil:
 			l.accept(conn)
-		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed): // the queue is empty, or gone
+		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed): // queue empty, or listener closed
 			return
 		default:
 			l.counters.LocalErrors.count(err)
@@ -174,13 +178,14 @@
 	}
 }
 
+// canAcceptBacklog reports whether another client from the listener's queue may be accepted.
 func (l *Listener) canAcceptBacklog() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.soleOwner && len(l.conns) < l.maxConns && time.Now().Before(l.backlogUntil)
 }
 
-// accept begins to serve a connection. Its goroutine ends by remove, for which Close waits.
+// accept starts to serve a connection. The connection's goroutine calls remove when it ends, for which Close waits.
 func (l *Listener) accept(conn net.Conn) {
 	now := time.Now()
 	c := &clientConn{
@@ -196,7 +201,7 @@
 	go c.run()
 }
 
-// remove forgets a connection that has ended.
+// remove removes a connection that has ended.
 func (l *Listener) remove(c *clientConn) {
 	l.counters.ClientsOpen.Add(-1)
 	l.mu.Lock()
@@ -205,8 +210,8 @@
 	l.connsChanged.Broadcast()
 }
 
-// awaitCapacity waits until a connection may be accepted, and returns false once the listener is to close. It closes a
-// connection when nearly as many are open as may be, or as many as may be left open to clients that have been served.
+// awaitCapacity waits until a connection may be accepted. It returns false when Close has been called. It evicts a
+// connection when the number of open ones is near its limit, or reaches the limit for clients that have been served.
 func (l *Listener) awaitCapacity() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,12 +224,13 @@
 				return true
 			}
 		}
-		l.connsChanged.Wait() // some connection ends, since every command and every reply has a time limit
+		l.connsChanged.Wait() // some connection will end, since every command and every reply has a time limit
 	}
 	return false
 }
 
-// evictOneLocked has a connection close that can be done without, and returns false if there is none.
+// evictOneLocked starts to close the connection that chooseEviction returns, and returns false if there is none. The
+// caller holds l.mu.
 func (l *Listener) evictOneLocked() bool {
 	e := l.chooseEviction(time.Now())
 	if e.conn == nil {
@@ -234,7 +240,8 @@
 	return true
 }
 
-// Pause leaves new connections to another process that has the listener too; with false it accepts them again.
+// Pause stops accepting connections if paused is true, so that another process that has the same listener accepts them.
+// If paused is false, it accepts connections again.
 func (l *Listener) Pause(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -255,8 +262,8 @@
 	}
 }
 
-// SetLimits sets how many connections there may be at once, and how many of them may be left open to clients that have been
-// served. Where more are open, those that can be done without are closed.
+// SetLimits sets the maximum number of open connections, and the maximum number of those that stay open to clients that
+// have been served. If more are open, it evicts connections.
 func (l *Listener) SetLimits(maxConns, maxServedConns int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -286,5 +293,5 @@
 	return []byte("-ERR unknown command\r\n"), nil
 }
 
-// milliseconds converts a time of the balancer, in tenths of a millisecond, and rounds down.
+// milliseconds converts a balancer time, in tenths of a millisecond, to milliseconds and rounds down.
 func milliseconds(t balancer.Time) int { return int(t / ticksPerMillisecond) }
