--- a/internal/proxy/socket_peek.go
+++ b/internal/proxy/socket_peek.go
@@ -9,22 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// control runs a function on a connection's file descriptor. It does nothing for connections that have none, and for
-// those that are closed.
+// control calls a function with a connection's file descriptor. It does nothing if the connection has none or is closed.
 func control(conn net.Conn, call func(fd int)) {
-	withDescriptor, ok := conn.(syscall.Conn)
+	withFD, ok := conn.(syscall.Conn)
 	if !ok {
 		return
 	}
-	raw, err := withDescriptor.SyscallConn()
+	raw, err := withFD.SyscallConn()
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(fd uintptr) { call(int(fd)) }) // fails only on a closed connection, where call is not run
+	_ = raw.Control(func(fd uintptr) { call(int(fd)) }) // fails only on a closed connection; call is not executed then
 }
 
-// peek looks at what has arrived on a connection without taking it, and without waiting whatever its deadline. It
-// returns syscall.EAGAIN if nothing has arrived.
+// peek checks for input on a connection without consuming it. It does not block, whatever the connection's deadline. It
+// returns n = 1 if there is unread input, n = 0 at the end of the input, and syscall.EAGAIN if nothing has arrived.
 func peek(conn net.Conn) (n int, err error) {
 	err = syscall.EAGAIN
 	control(conn, func(fd int) {
@@ -34,37 +33,37 @@
 	return n, err
 }
 
-// inputState is what there is to read on a connection.
+// inputState is the state of a connection's input.
 type inputState uint8
 
 const (
 	inputNone   inputState = iota // nothing has arrived
-	inputUnread                   // bytes have arrived that were not read
-	inputEnded                    // the other side has closed the connection, with nothing left to read
+	inputUnread                   // bytes have arrived and have not been read
+	inputEnded                    // the peer has closed the connection, or it has failed, and nothing is left to read
 )
 
-// peekState returns what there is to read on a connection.
+// peekState returns the state of a connection's input.
 func peekState(conn net.Conn) inputState {
-	return inputOf(peek(conn))
+	return classifyPeek(peek(conn))
 }
 
-// inputOf returns what a look at a connection's input tells.
-func inputOf(n int, err error) inputState {
+// classifyPeek returns the input state for the result of peek.
+func classifyPeek(n int, err error) inputState {
 	switch {
 	case n > 0:
 		return inputUnread
 	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
 		return inputNone
-	case errors.Is(err, syscall.ENOMEM), errors.Is(err, syscall.ENOBUFS): // the next read or write will tell
+	case errors.Is(err, syscall.ENOMEM), errors.Is(err, syscall.ENOBUFS): // the next read or write reports the state
 		return inputNone
 	}
 	return inputEnded
 }
 
-// maxInputAge is the greatest age of input that is believed: a connection without any input reports nonsense.
+// maxInputAge is the greatest plausible age of input. The value is meaningless for a connection that has had no input.
 const maxInputAge = time.Minute
 
-// sinceLastInput returns how long ago the kernel received the last bytes on a connection, 0 where it does not tell.
+// sinceLastInput returns the time since the kernel received the last bytes on a connection, or 0 if it is unknown.
 func sinceLastInput(conn net.Conn) time.Duration {
 	age := time.Duration(0)
 	control(conn, func(fd int) {
@@ -79,8 +78,8 @@
 	return age
 }
 
-// unsentBytes returns how many bytes that were written the peer's machine has not taken yet, and false where the system
-// does not tell.
+// unsentBytes returns the number of written bytes that the peer's machine has not acknowledged yet. known is false if the
+// system does not report it.
 func unsentBytes(conn net.Conn) (n int, known bool) {
 	control(conn, func(fd int) {
 		var err error
@@ -90,13 +89,13 @@
 	return n, known
 }
 
-// hasUnread reports whether bytes have arrived that were not read.
+// hasUnread reports whether bytes have arrived that have not been read.
 func hasUnread(conn net.Conn) bool { return peekState(conn) == inputUnread }
 
-// closedByPeer reports whether the other side has closed the connection, with nothing left to read.
+// closedByPeer reports whether the peer has closed the connection, or it has failed, and nothing is left to read.
 func closedByPeer(conn net.Conn) bool { return peekState(conn) == inputEnded }
 
-// hungUpByPeer reports whether the other side has closed the connection, be there bytes left to read or not.
+// hungUpByPeer reports whether the peer has closed the connection, even if there are bytes left to read.
 func hungUpByPeer(conn net.Conn) bool {
 	hungUp := false
 	control(conn, func(fd int) {
--- a/internal/proxy/socket_peek_test.go
+++ b/internal/proxy/socket_peek_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A look at a connection that fails for want of memory or buffers says nothing of it; an end, a reset and a broken network
-// say that it has ended.
+// A peek that fails for lack of memory or buffers does not count as the end of the connection. End of input, a reset and
+// network errors do.
 func TestPeekErrorIsNoClose(t *testing.T) {
 	for _, test := range []struct {
 		n    int
@@ -24,8 +24,8 @@
 		{-1, syscall.EHOSTUNREACH, inputEnded},
 		{-1, syscall.EPIPE, inputEnded},
 	} {
-		if got := inputOf(test.n, test.err); got != test.want {
-			t.Errorf("%d, %v: %d, want %d", test.n, test.err, got, test.want)
+		if got := classifyPeek(test.n, test.err); got != test.want {
+			t.Errorf("classifyPeek(%d, %v) = %d, want %d", test.n, test.err, got, test.want)
 		}
 	}
 }
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -9,10 +9,10 @@
 	"golang.org/x/time/rate"
 )
 
-// What is kept of a request, and how often it is logged.
+// Limits of request traces.
 const (
-	maxTraceEvents = 16 // of a request; later ones are counted only
-	tracesPerSec   = 10
+	maxTraceEvents = 16 // recorded events per request; later events are only counted
+	tracesPerSec   = 10 // logged traces of abnormal requests per second
 	traceBurst     = 20
 )
 
@@ -21,10 +21,10 @@
 
 const (
 	traceReceived traceKind = iota
-	traceSent               // an attempt was handed to its host
+	traceSent               // an attempt was passed to its host
 	traceEnded              // an attempt has ended
 	traceCancelled
-	traceCompleted // the final reply is the upstream's
+	traceCompleted // the final reply carries the upstream's response
 	traceShed
 	traceFailed
 	traceClientGone
@@ -35,21 +35,21 @@
 	"received", "sent", "ended", "cancelled", "completed", "shed", "failed", "client_gone",
 }
 
-// traceEvent is one transition.
+// traceEvent is one state transition of a request or of one of its attempts.
 type traceEvent struct {
 	at      balancer.Time
 	kind    traceKind
-	host    int // index, of attempts
+	host    int // index of the attempt's host
 	reason  balancer.Reason
-	outcome balancer.Outcome // traceEnded
+	outcome balancer.Outcome // for traceEnded
 }
 
-// requestTrace is what has become of a request. Only the router's goroutine uses it.
+// requestTrace is the history of a request. Only the router's goroutine uses it.
 type requestTrace struct {
 	events   [maxTraceEvents]traceEvent
-	n        int
-	omitted  int
-	abnormal bool // it is logged whatever the level
+	n        int  // number of recorded events
+	omitted  int  // number of events that were not recorded
+	abnormal bool // the trace is logged at info level instead of debug level, subject to the rate limit
 }
 
 func (t *requestTrace) add(event traceEvent) {
@@ -61,22 +61,23 @@
 	t.n++
 }
 
-// outcomeNames are the texts of outcomes in traces.
+// outcomeNames are the names of outcomes in traces, in the order of the balancer's outcomes.
 var outcomeNames = [balancer.CacheMiss + 1]string{
 	"completed", "server_error", "overloaded", "timed_out", "connect_failed", "reset", "cancelled", "not_sent", "cache_miss",
 }
 
-// newTraceLimiter bounds how many traces a second are logged.
+// newTraceLimiter returns the rate limiter for traces of abnormal requests.
 func newTraceLimiter() *rate.Limiter { return rate.NewLimiter(tracesPerSec, traceBurst) }
 
-// recordEnd adds the end of an attempt. Requests whose attempt timed out or was reset are logged.
+// recordEnd records the end of an attempt. An attempt that timed out or was reset makes the request abnormal.
 func (t *requestTrace) recordEnd(at balancer.Time, host int, outcome balancer.Outcome) {
 	t.add(traceEvent{at: at, kind: traceEnded, host: host, outcome: outcome})
 	t.abnormal = t.abnormal || outcome == balancer.TimedOut || outcome == balancer.Reset
 }
 
-// logTrace logs what has become of a request: of one that is abnormal, or all at debug level. Each line is one
-// request's; the figures before the events are milliseconds since its last byte was read.
+// logTrace logs the trace of a request in one line: at info level if the request is abnormal and the rate limit permits,
+// otherwise at debug level. The number before each event is the time in milliseconds since the request's last byte was
+// read.
 func (r *Router) logTrace(s *requestSlot) {
 	level := zap.DebugLevel
 	if s.trace.abnormal {
@@ -113,7 +114,7 @@
 	return text
 }
 
-// hostName returns the name of a host that may be gone by now.
+// hostName returns the name of a host, or its index if the host has departed.
 func (r *Router) hostName(index int) string {
 	if h := r.hosts[index]; h != nil {
 		return h.name
