--- a/internal/proxy/lifecycle_use_test.go
+++ b/internal/proxy/lifecycle_use_test.go
@@ -9,25 +9,26 @@
 	"testing"
 )
 
-// connectionCalls are the methods by which something is written to a connection, or its sending or itself ends.
+// connectionCalls are the methods that write to a connection, end its sending side or close it.
 var connectionCalls = map[string]bool{
 	"Write": true, "WriteTo": true, "Close": true, "CloseWrite": true, "SetLinger": true, "CloseRead": true,
 }
 
-// askingFunctions are the functions that may call them, each with what has permitted it.
-var askingFunctions = map[string]string{
-	"writeReplies": "the final replies that Request.Apply has taken",
-	"writeStream":  "the same, a value in chunks",
+// permittedFunctions are the functions that may call these methods, each with the condition that permits the call.
+var permittedFunctions = map[string]string{
+	"writeReplies": "the final replies that Request.Apply has accepted",
+	"writeStream":  "as for writeReplies, for a value in chunks",
 	"closeSending": "ClientConnConditions: MayClose, MayCloseUnread or MayExpire",
-	"release":      "the end of serve, for one of the reasons of closeReason",
+	"release":      "serve has returned, for one of the reasons of closeReason",
 	"writeRequest": "AttemptConditions.MayBegin",
 	"closeConn":    "an upstream connection that UpstreamConnConditions does not permit to be reused",
 	"run":          "WatchConditions.MayOpen: the watch's own connection",
-	"open":         "the same",
-	"Run":          "the listener itself, once no client is accepted",
+	"open":         "as for run",
+	"Run":          "the listener itself, after accepting has ended",
 }
 
-// The data path writes to connections, and ends them, in those functions only that have asked package lifecycle.
+// The data path writes to connections and closes them only in functions that have checked with package lifecycle that
+// they may.
 func TestConnectionsAreUsedWherePermitted(t *testing.T) {
 	entries, err := os.ReadDir(".")
 	if err != nil {
@@ -49,15 +50,15 @@
 			}
 		}
 	}
-	for function := range askingFunctions {
+	for function := range permittedFunctions {
 		if !used[function] {
-			t.Errorf("%s uses no connection any more; take it off the list", function)
+			t.Errorf("%s no longer uses a connection; remove it from permittedFunctions", function)
 		}
 	}
 }
 
-// checkConnectionCalls looks for calls on connections in a function: those of methods of a field or variable whose name
-// says that it is one.
+// checkConnectionCalls checks the calls on connections in a function. A call counts as one if its receiver is a variable
+// or field with the name of a connection.
 func checkConnectionCalls(t *testing.T, files *token.FileSet, function *ast.FuncDecl, used map[string]bool) {
 	t.Helper()
 	ast.Inspect(function, func(n ast.Node) bool {
@@ -70,14 +71,16 @@
 			return true
 		}
 		used[function.Name.Name] = true
-		if askingFunctions[function.Name.Name] == "" {
-			t.Errorf("%v: %s calls %s on a connection without having asked", files.Position(call.Pos()), function.Name.Name, method.Sel.Name)
+		if permittedFunctions[function.Name.Name] == "" {
+			t.Errorf("%v: %s calls %s on a connection and is not in permittedFunctions",
+				files.Position(call.Pos()), function.Name.Name, method.Sel.Name)
 		}
 		return true
 	})
 }
 
-// isConnection reports whether an expression is a connection, or bytes on their way to one, by its last name.
+// isConnection reports whether an expression is a connection, or buffers to be written to one, judged by the last
+// identifier in it.
 func isConnection(expression ast.Expr) bool {
 	name := ""
 	switch x := expression.(type) {
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// testDrain closes connections within a second.
+// testDrain is a drain schedule that closes connections within a second.
 var testDrain = DrainSchedule{time.Second, time.Second, time.Second}
 
 // awaitClosing waits until Close has been called.
 func (p *testProxy) awaitClosing() {
 	p.t.Helper()
-	p.eventually("the listener does not close", func() bool {
+	p.eventually("Close does not mark the listener as closed", func() bool {
 		p.listener.mu.Lock()
 		defer p.listener.mu.Unlock()
 		return p.listener.closed
 	})
 }
 
-// A connection is accepted and not yet among the listener's when that closes and finds none: its request is answered
-// before Close returns.
+// Guards against Close returning before an accepted connection is served. Close runs while the connection has been
+// accepted but is not yet in the listener's set of connections.
 func TestConnAcceptedDuringCloseIsServed(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	step := &steppedListener{accepted: make(chan struct{}, 1), proceed: make(chan struct{})}
@@ -36,23 +36,23 @@
 		close(closed)
 	}()
 	p.awaitClosing()
-	time.Sleep(50 * time.Millisecond) // Close has found no connection, if it does not wait for the accepted one
+	time.Sleep(50 * time.Millisecond) // enough for Close to return if it does not wait for the accepted connection
 	close(step.proceed)
 	cache.next(t).replyValue(t)
 	if line, err := bufio.NewReader(client).ReadString('\n'); line != "$5\r\n" {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("got reply line %q, error %v; want a value of 5 bytes", line, err)
 	}
 	select {
 	case <-closed:
-		t.Error("Close has returned before the reply")
+		t.Error("Close returned before the connection ended")
 	default:
 	}
 	closeConn(t, client)
 	<-closed
 }
 
-// checkBacklogIsServed has clients wait in the listener's queue as it closes, and fails unless all are answered. atClose is
-// called before the first of them is accepted.
+// checkBacklogIsServed lets clients wait in the listener's queue while it closes, and fails unless all get a reply.
+// atClose is called before the first of them is accepted.
 func checkBacklogIsServed(t *testing.T, step *steppedListener, atClose func()) {
 	t.Helper()
 	cache, origin := newCache(t), newOrigin(t)
@@ -74,17 +74,17 @@
 	}
 	for _, client := range clients {
 		if line, err := bufio.NewReader(client).ReadString('\n'); line != "$5\r\n" {
-			t.Errorf("%q, %v", line, err)
+			t.Errorf("got reply line %q, error %v; want a value of 5 bytes", line, err)
 		}
 	}
 }
 
-// Clients wait in the listener's queue when it closes: all are accepted and answered.
+// Clients that wait in the listener's queue when it closes are accepted and get a reply.
 func TestBacklogIsServedDuringClose(t *testing.T) {
 	checkBacklogIsServed(t, &steppedListener{}, func() { time.Sleep(50 * time.Millisecond) })
 }
 
-// No file descriptor is left for a while, and accepting fails: who waited is accepted once there is one.
+// Accept fails for a while because no file descriptor is left. A client that waits in the queue is accepted afterwards.
 func TestAcceptRecoversFromErrors(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	step := &steppedListener{}
@@ -94,6 +94,6 @@
 	send(t, client, getCommand("waits", longWaitMS))
 	cache.next(t).replyValue(t)
 	if line, err := bufio.NewReader(client).ReadString('\n'); line != "$5\r\n" || step.failuresLeft.Load() >= 0 {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("got reply line %q, error %v; want a value of 5 bytes", line, err)
 	}
 }
--- a/internal/proxy/local_error_test.go
+++ b/internal/proxy/local_error_test.go
@@ -10,7 +10,7 @@
 	"woodproxy/balancer"
 )
 
-// localFailures are the system calls that fail for a moment for a reason of the proxy's own machine.
+// localFailures are system calls with errors that are caused by the proxy's own machine.
 var localFailures = []struct {
 	call  string
 	errno syscall.Errno
@@ -25,8 +25,8 @@
 	{"connect", syscall.ENOBUFS},
 }
 
-// A connection to a cache fails for a moment for want of something on the proxy's own machine: that says nothing of the
-// cache, which is not ejected, and the request is sent to it a moment later.
+// Guards against blaming a cache when a connection to it fails temporarily because the proxy's own machine lacks a
+// resource. No failed connection is counted for the cache, and the request is sent to it shortly afterwards.
 func TestLocalConnectFailureIsNotBlamedOnServer(t *testing.T) {
 	for _, failure := range localFailures {
 		t.Run(fmt.Sprint(failure.call, " ", failure.errno), func(t *testing.T) {
@@ -39,16 +39,16 @@
 			send(t, client, getCommand("waits", longWaitMS))
 			cache.next(t).replyValue(t)
 			if line, err := bufio.NewReader(client).ReadString('\n'); line != "$5\r\n" {
-				t.Errorf("%q, %v", line, err)
+				t.Errorf("got reply line %q, error %v; want a value of 5 bytes", line, err)
 			}
 			if n := p.router.counters.Ends[balancer.ConnectFailed].Load(); n > 0 {
-				t.Errorf("%d attempts count as failed connections to the cache", n)
+				t.Errorf("got %d attempts with outcome ConnectFailed, want 0", n)
 			}
 		})
 	}
 }
 
-// While such failures last, few connections are tried, and the request has its reply at once when it can't be sent.
+// While local failures persist, few connections are attempted, and the request gets its error reply promptly.
 func TestLastingLocalFailureIsAnsweredSoon(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p := newTestProxy(t, 10, defaultSettings, cache, origin)
@@ -58,20 +58,20 @@
 	began := time.Now()
 	send(t, client, getCommand("shed", longWaitMS))
 	if line, err := bufio.NewReader(client).ReadString('\n'); len(line) == 0 || line[0] != '-' {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("got reply line %q, error %v; want an error reply", line, err)
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("the reply took %v", took)
+		t.Errorf("the reply took %v, want at most 1s", took)
 	}
 	if n := p.dialer.dials.Load(); n > 30 {
-		t.Errorf("%d connections were tried", n)
+		t.Errorf("got %d connection attempts, want at most 30", n)
 	}
 	if n := p.router.counters.Ends[balancer.ConnectFailed].Load(); n > 0 {
-		t.Errorf("%d attempts count as failed connections to the cache", n)
+		t.Errorf("got %d attempts with outcome ConnectFailed, want 0", n)
 	}
 }
 
-// A refused connection and one that never comes up are the server's.
+// A refused connection, a connection timeout and an unreachable host count as failures of the server.
 func TestRemoteConnectFailureIsBlamedOnServer(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -80,15 +80,17 @@
 			err := localError("connect", errno)
 			p.dialer.failing.Store(&err)
 			send(t, p.dial(), getCommand("refused", longWaitMS))
-			p.eventually("not blamed", func() bool { return p.router.counters.Ends[balancer.ConnectFailed].Load() > 0 })
+			p.eventually("no attempt ends with outcome ConnectFailed", func() bool {
+				return p.router.counters.Ends[balancer.ConnectFailed].Load() > 0
+			})
 		})
 	}
 }
 
-// Errors of a server, and none, are not taken for those of this machine.
+// Errors that a server causes, and nil, are not classified as local errors.
 func TestIsLocalError(t *testing.T) {
 	if !isLocalError(localError("socket", syscall.ENFILE)) || isLocalError(localError("connect", syscall.ECONNREFUSED)) ||
 		isLocalError(nil) {
-		t.Error("misjudged")
+		t.Error("isLocalError returns the wrong result for a local error, a refused connection or nil")
 	}
 }
