--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -14,8 +14,8 @@
 	"woodproxy/internal/wire"
 )
 
-// A client closes its connection while the upstream connection that its request waits for comes up: nothing of it is
-// sent, whether or not attempts may be cancelled, and the connection serves the next request.
+// A client closes its connection while its request waits for an upstream connection to be established. The request is not
+// sent, whether or not attempts may be canceled, and the upstream connection serves the next request.
 func TestClientGoneWhileDialing(t *testing.T) {
 	for _, mayCancel := range []bool{false, true} {
 		t.Run(fmt.Sprint("may cancel ", mayCancel), func(t *testing.T) {
@@ -24,25 +24,25 @@
 			release := p.dialer.block(cache.addr)
 			client := p.dial()
 			send(t, client, getCommand("left", longWaitMS))
-			p.eventually("no connection is made", func() bool { return p.router.counters.Dials.Load() == 1 })
+			p.eventually("no upstream connection is dialed", func() bool { return p.router.counters.Dials.Load() == 1 })
 			closeConn(t, client)
-			p.eventually("the client's close is not noticed", func() bool { return p.router.counters.Left.Load() == 1 })
+			p.eventually("the client's close is not detected", func() bool { return p.router.counters.Left.Load() == 1 })
 			release()
 			send(t, p.dial(), getCommand("stays", longWaitMS))
 			if got := cache.next(t); got.id != "stays" {
-				t.Errorf("%s was sent after its client had gone", got.id)
+				t.Errorf("request %s was sent after its client had closed the connection", got.id)
 			}
 		})
 	}
 }
 
-// A hedged read is answered by the origin while the connection for the first attempt still comes up: the first is not
-// begun after the final reply.
+// The origin responds to a hedged read while the connection for the first attempt is still being established. The first
+// attempt is not sent after the final reply.
 func TestHedgeAnsweredWhileDialing(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p := newTestProxy(t, 10, func(config *balancer.Settings) {
 		config.ParallelAttempts = true
-		config.Routes[1].Objective, config.Routes[1].Timeout = 1000, 2000 // by which a reply is late after 0.1 s
+		config.Routes[1].Objective, config.Routes[1].Timeout = 1000, 2000 // an attempt is late after 0.1 s
 	}, cache, origin)
 	release := p.dialer.block(cache.addr)
 	client := p.dial()
@@ -50,16 +50,17 @@
 	hedge := origin.next(t)
 	send(t, hedge.conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue")
 	if line, err := bufio.NewReader(client).ReadString('\n'); line != "$5\r\n" {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("got reply line %q, error %v; want a value of 5 bytes", line, err)
 	}
 	release()
 	send(t, client, getCommand("next", longWaitMS))
 	if got := cache.next(t); got.id != "next" {
-		t.Errorf("%s was sent after its final reply", got.id)
+		t.Errorf("request %s was sent after its final reply", got.id)
 	}
 }
 
-// A request is queued for a socket when its client closes the connection: the socket, once free, carries none of it.
+// A client closes its connection while its request is queued for a socket. The request is not sent when the socket is
+// free.
 func TestClientGoneWhileQueuedForSocket(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p := newTestProxy(t, 1, defaultSettings, cache, origin)
@@ -67,19 +68,19 @@
 	send(t, first, getCommand("first", longWaitMS))
 	busy := cache.next(t)
 	send(t, second, getCommand("left", longWaitMS))
-	p.eventually("no attempt for the second", func() bool { return p.router.counters.Tries.Load() == 2 })
+	p.eventually("there is no attempt for the second request", func() bool { return p.router.counters.Tries.Load() == 2 })
 	closeConn(t, second)
-	p.eventually("the client's close is not noticed", func() bool { return p.router.counters.Left.Load() == 1 })
+	p.eventually("the client's close is not detected", func() bool { return p.router.counters.Left.Load() == 1 })
 	busy.replyValue(t)
 	send(t, p.dial(), getCommand("stays", longWaitMS))
 	if got := cache.next(t); got.id != "stays" {
-		t.Errorf("%s was sent after its client had gone", got.id)
+		t.Errorf("request %s was sent after its client had closed the connection", got.id)
 	}
 }
 
-// A client closes its connection while the proxy does not read from it: as many commands as may be are pending and the
-// buffer is full, the connection was told to close with replies pending, or it streams a value that has stalled. All
-// that is pending is given up at once, as far as it was not shed before.
+// A client closes its connection while the proxy does not read from it, because the maximum number of commands is pending
+// and the buffer is full, because the connection has to stop reading while replies are pending, or because it streams a
+// value that has stalled. All pending requests that were not shed before are abandoned at once.
 func TestClientGoneWhileConnIsNotRead(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -91,13 +92,13 @@
 				commands.WriteString(getCommand(fmt.Sprint("id", i), longWaitMS))
 			}
 			p.dialer.block(p.router.hosts[0].endpoint.Address)
-			go func() { _, _ = io.WriteString(client, commands.String()) }() // not all of it is accepted
+			go func() { _, _ = io.WriteString(client, commands.String()) }() // the proxy does not accept all of it
 			return maxPending
 		}},
-		{"told to close", func(p *testProxy, client net.Conn, _ *fakeNode) int64 {
+		{"stop reading", func(p *testProxy, client net.Conn, _ *fakeNode) int64 {
 			p.dialer.block(p.router.hosts[0].endpoint.Address)
 			send(p.t, client, getCommand("pending", longWaitMS))
-			p.eventually("no connection is made", func() bool { return p.router.counters.Dials.Load() == 1 })
+			p.eventually("no upstream connection is dialed", func() bool { return p.router.counters.Dials.Load() == 1 })
 			p.listener.requestPhaseAll(lifecycle.PhaseStopReading)
 			send(p.t, client, getCommand("unread", longWaitMS))
 			return 1
@@ -117,13 +118,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			cache, origin := newCache(t), newOrigin(t)
 			p := newTestProxy(t, 100, defaultSettings, cache, origin)
-			p.eventually("no endpoint list", func() bool { return len(p.router.Endpoints()) == 2 })
+			p.eventually("the endpoint list is not applied", func() bool { return len(p.router.Endpoints()) == 2 })
 			client := p.dial()
 			pending := test.begin(p, client, cache)
 			counters := p.router.counters
-			p.eventually("not read", func() bool { return counters.Exchanges.Load() >= pending })
+			p.eventually("not all pending requests are read", func() bool { return counters.Exchanges.Load() >= pending })
 			closeConn(t, client)
-			p.eventually("not all that was read was given up", func() bool {
+			p.eventually("not all requests that were read have ended", func() bool {
 				ended := counters.Left.Load() + counters.Shed.Load() + counters.Completed.Load()
 				return ended == counters.Exchanges.Load() && counters.ClientsOpen.Load() == 0
 			})
@@ -131,7 +132,8 @@
 	}
 }
 
-// A client sends PING before any are served, and closes its connection: nobody waits for it.
+// A client sends PING before the proxy serves clients, and closes its connection. The close is detected although the
+// reply to PING waits for Open.
 func TestClientGoneBeforeOpen(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p := newTestProxy(t, 10, defaultSettings, cache, origin)
@@ -139,23 +141,23 @@
 	p.dialer.block(cache.addr)
 	client := p.dial()
 	send(t, client, getCommand("left", longWaitMS)+string(wire.AppendPlainCommand(nil, "PING"))+"*")
-	p.eventually("no connection is made", func() bool { return p.router.counters.Dials.Load() == 1 })
+	p.eventually("no upstream connection is dialed", func() bool { return p.router.counters.Dials.Load() == 1 })
 	closeConn(t, client)
-	p.eventually("the client's close is not noticed", func() bool { return p.router.counters.Left.Load() == 1 })
+	p.eventually("the client's close is not detected", func() bool { return p.router.counters.Left.Load() == 1 })
 }
 
-// A client closes its connection while its value is half written to a node that reads slowly: the node never gets the
-// rest.
+// A client closes its connection while its value has been written partially to a node that reads slowly. The node never
+// receives the rest.
 func TestClientGoneStopsPartialWrite(t *testing.T) {
 	const size = 4 << 20
 	begun, resume, received := make(chan struct{}), make(chan struct{}), make(chan int64, 1)
 	origin := &fakeNode{addr: listen(t, func(conn net.Conn) {
-		// A larger buffer, or nothing to read, would fail the test by what it receives.
+		// Errors are ignored: with a larger buffer or without input, the check of the received bytes fails.
 		_ = conn.(*net.TCPConn).SetReadBuffer(16 << 10)
 		_, _ = io.CopyN(io.Discard, conn, 1)
 		close(begun)
 		<-resume
-		n, _ := io.Copy(io.Discard, conn) // ends by a reset, as intended
+		n, _ := io.Copy(io.Discard, conn) // ends with a reset, as expected
 		received <- n + 1
 	})}
 	p := newTestProxy(t, 10, defaultSettings, newCache(t), origin)
@@ -163,24 +165,24 @@
 	send(t, client, setCommand("long", longPut, strings.Repeat("v", size)))
 	<-begun
 	closeConn(t, client)
-	p.eventually("the attempt is not stopped", func() bool { return p.router.counters.UpstreamOpen.Load() == 0 })
+	p.eventually("the upstream connection is not closed", func() bool { return p.router.counters.UpstreamOpen.Load() == 0 })
 	close(resume)
 	select {
 	case n := <-received:
 		if n >= size {
-			t.Errorf("%d bytes came, the whole command", n)
+			t.Errorf("the node received %d bytes, want less than the value's size", n)
 		}
 	case <-time.After(3 * time.Second):
-		t.Error("the connection stays, half a command on it")
+		t.Error("the upstream connection stays open after a partially written command")
 	}
 }
 
-// A client closes its connection while replies are written that it does not read: what it asked behind them is given up
-// at once.
+// A client closes its connection while the proxy writes replies that the client does not read. The requests behind them
+// are abandoned at once.
 func TestClientGoneWhileRepliesAreWritten(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p := newTestProxy(t, 100, defaultSettings, cache, origin)
-	p.eventually("no endpoint list", func() bool { return len(p.router.Endpoints()) == 2 })
+	p.eventually("the endpoint list is not applied", func() bool { return len(p.router.Endpoints()) == 2 })
 	client := p.dial()
 	if err := client.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
@@ -190,30 +192,33 @@
 	send(t, cache.next(t).conn, fmt.Sprintf("*1\r\n$%d\r\n%s\r\n", wire.MaxResponseValue, value))
 	p.dialer.block(cache.addr)
 	send(t, client, getCommand("behind", longWaitMS))
-	p.eventually("nothing is written", func() bool { return hasUnread(client) })
+	p.eventually("no reply is written", func() bool { return hasUnread(client) })
 	closeConn(t, client)
-	p.eventually("still open", func() bool { return p.router.counters.ClientsOpen.Load() == 0 })
+	p.eventually("the client connection is still open", func() bool { return p.router.counters.ClientsOpen.Load() == 0 })
 }
 
-// Commands that were read before the connection is told to stop reading are answered, however many are before them.
+// Commands that were read before the connection has to stop reading get a reply, even if the maximum number of commands
+// was pending before them.
 func TestCommandsReadBeforeStopReadingAreAnswered(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p := newTestProxy(t, 100, defaultSettings, cache, origin)
-	p.eventually("no endpoint list", func() bool { return len(p.router.Endpoints()) == 2 })
+	p.eventually("the endpoint list is not applied", func() bool { return len(p.router.Endpoints()) == 2 })
 	client := p.dial()
-	const asked = maxPending + 6
+	const sent = maxPending + 6
 	var commands strings.Builder
-	for i := range asked {
+	for i := range sent {
 		commands.WriteString(getCommand(fmt.Sprint("id", i), longWaitMS))
 	}
 	release := p.dialer.block(cache.addr)
 	send(t, client, commands.String())
-	p.eventually("not read", func() bool { return p.router.counters.Exchanges.Load() == maxPending })
+	p.eventually("not all commands that may be pending are read", func() bool {
+		return p.router.counters.Exchanges.Load() == maxPending
+	})
 	p.listener.requestPhaseAll(lifecycle.PhaseStopReading)
 	release()
 	go func() {
 		for cmd := range cache.commands {
-			_, _ = io.WriteString(cmd.conn, "*1\r\n$5\r\nvalue\r\n") // a failure is seen by the missing reply
+			_, _ = io.WriteString(cmd.conn, "*1\r\n$5\r\nvalue\r\n") // a failure is detected by the missing reply
 		}
 	}()
 	reader, replies := bufio.NewReader(client), 0
@@ -229,27 +234,27 @@
 			break
 		}
 	}
-	if replies != asked {
-		t.Errorf("%d replies to %d commands that were read", replies, asked)
+	if replies != sent {
+		t.Errorf("got %d replies, want %d", replies, sent)
 	}
 }
 
-// newCrossingRequest returns a proxy, and a client that sends one more request in the instant in which its connection
-// is closed.
+// newCrossingRequest returns a proxy and a client that sends one more request at the time at which its connection is
+// closed. The test fails if the proxy reads any of that request.
 func newCrossingRequest(t *testing.T, nodes ...*fakeNode) (*testProxy, net.Conn) {
 	t.Helper()
 	crossing := make(chan net.Conn, 1)
 	step := &steppedListener{}
 	t.Cleanup(func() {
 		if n := step.readsAtEnd.Load(); n > 0 {
-			t.Errorf("%d bytes of a request that gets no answer were read", n)
+			t.Errorf("%d bytes were read of a request that gets no reply", n)
 		}
 	})
 	step.beforeClose = func() {
 		if _, err := io.WriteString(<-crossing, getCommand("crosses", longWaitMS)); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(20 * time.Millisecond) // so that it has arrived
+		time.Sleep(20 * time.Millisecond) // lets the request arrive
 	}
 	p := newSteppedTestProxy(t, step, 10, defaultSettings, nodes...)
 	client := p.dial()
@@ -257,8 +262,9 @@
 	return p, client
 }
 
-// A request arrives between a connection's last look for bytes and its close, whatever closes it: the client sees an
-// end and no reset, so that it loses no reply, and nothing of the request is sent to an upstream.
+// A request arrives between a connection's last check for input and its close, whatever the reason for the close. The
+// client sees the end of the connection and no reset, so that it loses no reply, and the request is not sent to an
+// upstream.
 func TestRequestDuringConnCloseSeesNoReset(t *testing.T) {
 	requestPhase := func(phase lifecycle.ClosePhase) func(*testProxy) {
 		return func(p *testProxy) { p.listener.requestPhaseAll(phase) }
@@ -272,7 +278,7 @@
 		{"close when idle", requestPhase(lifecycle.PhaseCloseWhenIdle), false},
 		{"stop reading", requestPhase(lifecycle.PhaseStopReading), false},
 		{"evicted", func(p *testProxy) {
-			p.eventually("not idle", func() bool {
+			p.eventually("the connection is not evicted", func() bool {
 				p.listener.SetLimits(1, 0)
 				return p.router.counters.ClientsOpen.Load() == 0
 			})
@@ -298,25 +304,26 @@
 				get("second")
 			}
 			if got, err := io.ReadAll(reader); err != nil || string(got) != "$5\r\nvalue\r\n" {
-				t.Errorf("%q, %v", got, err)
+				t.Errorf("got %q, error %v; want one reply and the end of the connection", got, err)
 			}
-			p.eventually("still open", func() bool { return p.router.counters.ClientsOpen.Load() == 0 })
+			p.eventually("the client connection is still open", func() bool { return p.router.counters.ClientsOpen.Load() == 0 })
 			if n := len(cache.commands); n > 0 || p.router.counters.Exchanges.Load() > 2 {
-				t.Error("what was read after the end was sent to an upstream")
+				t.Error("a request that arrived during the close was sent to an upstream")
 			}
 		})
 	}
 }
 
-// The first request arrives as its connection is closed for having sent none so far: the same holds.
+// As in TestRequestDuringConnCloseSeesNoReset, for the first request of a connection that is closed because it has sent
+// none in time.
 func TestFirstRequestDuringTimeoutSeesNoReset(t *testing.T) {
 	t.Parallel()
 	cache, origin := newCache(t), newOrigin(t)
 	_, client := newCrossingRequest(t, cache, origin)
 	if got, err := io.ReadAll(client); err != nil || len(got) > 0 {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got %q, error %v; want only the end of the connection", got, err)
 	}
 	if len(cache.commands) > 0 {
-		t.Error("what was read after the end was sent to an upstream")
+		t.Error("a request that arrived during the close was sent to an upstream")
 	}
 }
--- a/internal/proxy/client_deadline_test.go
+++ b/internal/proxy/client_deadline_test.go
@@ -14,19 +14,19 @@
 	"woodproxy/internal/wire"
 )
 
-// shortTimeouts are times that a client has for its commands, short enough for a test.
+// shortTimeouts returns time limits for a client's commands that are short enough for a test.
 func shortTimeouts() *clientTimeouts {
 	const short = 150 * time.Millisecond
 	return &clientTimeouts{firstCommand: short, command: short, idle: short}
 }
 
-// Bytes of a client arrive in the very moment in which its time is over, for its first command, for the rest of one, or
-// for the next: what has arrived by then is read and answered. A close would lose it, since it came before the close.
+// Input that arrives at the moment at which a time limit expires is read and gets a reply: the first command, the rest of
+// a command or value, or the next command. Guards against a close that loses this input, which arrived before the close.
 func TestInputAtDeadlineIsAnswered(t *testing.T) {
 	for _, test := range []struct {
 		name          string
-		before, after string // what is sent at first, and as the time is over
-		served        bool   // before is a whole request
+		before, after string // sent at first, and when the time limit expires
+		served        bool   // before is a complete request
 	}{
 		{"first command", "", getCommand("first", longWaitMS), false},
 		{"rest of a command", getCommand("partial", longWaitMS)[:30], getCommand("partial", longWaitMS)[30:], false},
@@ -42,8 +42,8 @@
 					if _, err := client.Write([]byte(test.after)); err != nil {
 						t.Error(err)
 					}
-					time.Sleep(20 * time.Millisecond) // so that it has arrived
-				default: // interrupted by a reply
+					time.Sleep(20 * time.Millisecond) // lets the input arrive
+				default: // the read was interrupted because a reply is ready
 				}
 			}}, 10, defaultSettings, cache, origin)
 			client := p.dial()
@@ -62,16 +62,16 @@
 			case cmd := <-origin.commands:
 				send(t, cmd.conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue")
 			case <-time.After(3 * time.Second):
-				t.Fatal("the request is sent to no upstream")
+				t.Fatal("the request is not sent to an upstream")
 			}
 			if line, err := reader.ReadString('\n'); line != "$5\r\n" {
-				t.Errorf("%q, %v", line, err)
+				t.Errorf("got reply line %q, error %v; want a value of 5 bytes", line, err)
 			}
 		})
 	}
 }
 
-// A client that goes on sending a little of one command has its time all the same.
+// A client that keeps sending single bytes of one command does not get more time than the command timeout.
 func TestDrippedCommandHasItsTime(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p := newSteppedTestProxy(t, &steppedListener{timeouts: shortTimeouts()}, 10, defaultSettings, cache, origin)
@@ -86,15 +86,15 @@
 		}
 	}
 	if took := time.Since(began); took > 600*time.Millisecond {
-		t.Errorf("it is told after %v", took)
+		t.Errorf("the error reply took %v, want at most 600ms", took)
 	}
 	if line, err := bufio.NewReader(client).ReadString('\n'); line != "-ERR "+errPartialCommand.Error()+"\r\n" {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("got reply line %q, error %v; want the error reply for a partial command", line, err)
 	}
 }
 
-// Accepting fails in every way that Linux documents for a moment, as the listener closes: who waits in its queue is
-// accepted and answered all the same.
+// Accept fails temporarily, with each error that Linux documents for it, while the listener closes. The clients that wait
+// in the listener's queue are still accepted and get a reply.
 func TestBacklogIsServedDespiteAcceptErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
@@ -107,8 +107,8 @@
 	}
 }
 
-// A request waits in the listener's queue, as where accepting fails for a moment: its time runs, and what is told to the
-// upstream counts from when it came.
+// A request waits in the listener's queue, as happens when Accept fails temporarily. The time in the queue counts: the
+// remaining wait that is sent to the upstream is measured from the arrival of the request.
 func TestTimeInListenerQueueCounts(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	step := &steppedListener{accepted: make(chan struct{}, 1), proceed: make(chan struct{})}
@@ -121,12 +121,13 @@
 	received := cache.next(t)
 	facts, err := wire.ParseFacts([]byte(received.facts))
 	if err != nil || facts.WaitMilliseconds > waitMS-queuedMS+slackMS || facts.WaitMilliseconds < waitMS-queuedMS-500 {
-		t.Errorf("%q: %v", received.facts, err)
+		t.Errorf("got facts %q, error %v; want the wait reduced by the time in the queue", received.facts, err)
 	}
 }
 
-// A connection is closed behind a long reply while a further request crosses: the client, which reads late, gets all of the
-// reply. A close over the unread request would reset the connection, and the reply with it.
+// A connection is closed after a long reply while another request arrives. The client, which reads late, receives the
+// complete reply. Guards against closing the connection with the request unread, which resets the connection and loses
+// the reply.
 func TestSlowClientGetsReplyDespiteCrossingRequest(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p, client := newCrossingRequest(t, cache, origin)
@@ -137,14 +138,14 @@
 	const size = serverWriteBuffer * 3 / 4
 	value := strings.Repeat("v", size)
 	received := cache.next(t)
-	go func() { // a failure is seen by what the client lacks
+	go func() { // a failure is detected by the bytes that the client does not receive
 		_, _ = fmt.Fprintf(received.conn, "*1\r\n$%d\r\n%s\r\n", size, value)
 	}()
-	p.eventually("no reply", func() bool { return p.router.counters.Completed.Load() == 1 })
+	p.eventually("the reply is not completed", func() bool { return p.router.counters.Completed.Load() == 1 })
 	p.listener.requestPhaseAll(lifecycle.PhaseCloseWhenIdle)
 	time.Sleep(3 * lingerTimeout)
 	got, err := io.ReadAll(client)
 	if want := len(fmt.Sprintf("$%d\r\n", size)) + size + len(crlf); len(got) != want || err != nil {
-		t.Errorf("%d of %d bytes, %v", len(got), want, err)
+		t.Errorf("got %d of %d bytes, error %v", len(got), want, err)
 	}
 }
