--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -174,7 +174,7 @@
 // readLimit is the time limit for the next bytes from a client.
 type readLimit struct {
 	at  time.Time // zero: no limit
-	err error     // the cause of the close if no bytes have arrived by then
+	err error     // the cause of the close when the limit expires
 }
 
 // readLimit returns the limit that currently applies. A client that waits for replies between commands has no limit.
