--- a/duties/assigner.go
+++ b/duties/assigner.go
@@ -1,10 +1,10 @@
 package duties
 
-// assignmentInterval is the least span between two assignments, however often the fleet changes.
+// assignmentInterval is the minimum interval between two assignments, however often the fleet changes.
 const assignmentInterval = Second / 5
 
-// Assigner decides for one proxy. It is not safe for concurrent use. The methods that return decisions return a
-// slice that the next call reuses; an instant that lies before that of an earlier call counts as the earlier one.
+// Assigner decides which duties one proxy performs. It is not safe for concurrent use. The next call reuses the slice
+// of decisions that a method returns. A time earlier than that of a previous call is replaced by the previous one.
 type Assigner struct {
 	view      fleetView
 	decisions decisionList
@@ -14,12 +14,12 @@
 	idle      idleConnections
 	watch     watchDuty
 
-	changed    bool // the fleet or the nodes have changed since the last assignment
-	assignedAt Time // when the last assignment was made
+	changed    bool // whether the fleet or the nodes have changed since the last assignment
+	assignedAt Time // time of the last assignment
 }
 
-// New returns an assigner without peers and nodes. Until it learns of them, it performs every duty itself. The
-// settings have to be valid by their Check.
+// New returns an assigner without peers and nodes. Its proxy performs every duty itself until SetMembers and SetNodes
+// are called. The settings must pass their Check method.
 func New(now Time, settings Settings) *Assigner {
 	a := &Assigner{
 		view:       fleetView{settings: settings, now: now, members: newMembership(nil), catchingUp: true},
@@ -33,14 +33,14 @@
 	return a
 }
 
-// begin starts a call at an instant of the caller's clock.
+// begin starts a call at the given time of the caller's clock, and discards the decisions of the previous call.
 func (a *Assigner) begin(now Time) {
 	a.view.now = max(now, a.view.now)
 	a.decisions.reset()
 }
 
-// SetMembers sets all proxies, this one included, and whether the replicated state is still incomplete. While it does,
-// no duty is left to other proxies.
+// SetMembers sets all proxies, including this one, and whether this proxy is still catching up with the replicated
+// state. While it is catching up, it leaves no duty to other proxies.
 func (a *Assigner) SetMembers(now Time, all []Proxy, catchingUp bool) []Decision {
 	a.begin(now)
 	members := newMembership(all)
@@ -51,7 +51,7 @@
 	return a.decisions.decisions
 }
 
-// SetNodes sets the names of all caches in the endpoint list.
+// SetNodes sets the names of all nodes in the endpoint list.
 func (a *Assigner) SetNodes(now Time, names []string) []Decision {
 	a.begin(now)
 	changes := a.nodes.update(names)
@@ -64,7 +64,7 @@
 	return a.decisions.decisions
 }
 
-// probedNode returns the named node, or nil if it is not known or probes are not shared.
+// probedNode returns the named node, or nil if the node is unknown or probes are not shared.
 func (a *Assigner) probedNode(name string) *node {
 	if !a.view.settings.ShareProbes {
 		return nil
@@ -72,7 +72,7 @@
 	return a.nodes.byName[name]
 }
 
-// SetEjected records that this proxy has ejected a node, or else that the node answers here.
+// SetEjected records that this proxy has ejected a node, or that the node responds to this proxy again.
 func (a *Assigner) SetEjected(now Time, name string, ejected bool) []Decision {
 	a.begin(now)
 	if n := a.probedNode(name); n != nil {
@@ -81,7 +81,7 @@
 	return a.decisions.decisions
 }
 
-// ProbeSent records that this proxy has sent a probe to a node that it has ejected.
+// ProbeSent records that this proxy has sent a probe to a node that it ejected.
 func (a *Assigner) ProbeSent(now Time, name string) []Decision {
 	a.begin(now)
 	if n := a.probedNode(name); n != nil {
@@ -90,7 +90,7 @@
 	return a.decisions.decisions
 }
 
-// ProbeFailed records that the node did not answer this proxy's probe.
+// ProbeFailed records that the node did not respond to this proxy's probe.
 func (a *Assigner) ProbeFailed(now Time, name string) []Decision {
 	a.begin(now)
 	if n := a.probedNode(name); n != nil {
@@ -99,8 +99,8 @@
 	return a.decisions.decisions
 }
 
-// HandleReport handles another proxy's report of the given age. Reports of proxies that are not alive, of this proxy
-// itself, and of a negative age are ignored; reports on probes that are out of bounds are counted as rejected.
+// HandleReport handles a report of the given age from another proxy. It ignores reports with a negative age, from this
+// proxy itself, and from proxies that are not alive. Probe reports that are out of bounds are counted as rejected.
 func (a *Assigner) HandleReport(now Time, from string, kind ReportKind, key string, report Report, age Time) []Decision {
 	a.begin(now)
 	if from == a.view.settings.Self || age < 0 || !a.view.members.contains(from) {
@@ -119,20 +119,21 @@
 	return a.decisions.decisions
 }
 
-// SetWatchLive records that this proxy's watch of discovery works, or that it has ended or been silent for too long.
+// SetWatchLive records whether this proxy's discovery watch works. A watch that ended, or that received nothing for
+// too long, does not work.
 func (a *Assigner) SetWatchLive(now Time, live bool) []Decision {
 	a.begin(now)
 	a.watch.live = live
 	return a.decisions.decisions
 }
 
-// rule is one rule of a tick.
+// rule is an action that Tick applies when its condition holds.
 type rule struct {
 	applies func(a *Assigner) bool
 	apply   func(a *Assigner)
 }
 
-// rules are checked in this order, and from the first one again after each that applies.
+// rules are checked in this order. After a rule is applied, the check starts again with the first one.
 var rules = []rule{
 	{applies: (*Assigner).assignmentDue, apply: (*Assigner).assign},
 	{applies: (*Assigner).heartbeatDue, apply: (*Assigner).sendHeartbeat},
@@ -147,7 +148,7 @@
 func (a *Assigner) watchAssignmentChanged() bool { return a.watch.assignmentChanged() }
 func (a *Assigner) toggleWatchAssignment()       { a.watch.toggleAssignment() }
 
-// Tick makes the decisions that are due by time. The caller calls it about ten times a second.
+// Tick makes the decisions that depend on time. The caller calls it about ten times a second.
 func (a *Assigner) Tick(now Time) []Decision {
 	a.begin(now)
 	a.watch.expireLeases()
@@ -157,7 +158,7 @@
 	return a.decisions.decisions
 }
 
-// applyFirstRule applies the first rule that does, and tells whether there was one.
+// applyFirstRule applies the first rule whose condition holds, and reports whether there was one.
 func (a *Assigner) applyFirstRule() bool {
 	for i := range rules {
 		if rules[i].applies(a) {
@@ -168,12 +169,12 @@
 	return false
 }
 
-// assignmentDue tells whether duties have to be assigned anew.
+// assignmentDue reports whether duties have to be reassigned.
 func (a *Assigner) assignmentDue() bool {
 	return a.changed && a.view.now-a.assignedAt >= assignmentInterval
 }
 
-// assign assigns duties anew after the fleet or the nodes have changed.
+// assign reassigns duties after the fleet or the nodes have changed.
 func (a *Assigner) assign() {
 	a.changed, a.assignedAt = false, a.view.now
 	a.watch.updateSurplus()
@@ -187,7 +188,7 @@
 	}
 }
 
-// Statistics returns the statistics as they stand after the last call.
+// Statistics returns the statistics as of the last call.
 func (a *Assigner) Statistics() Statistics {
 	return Statistics{
 		Alive:            a.view.members.size(),
--- a/duties/decision.go
+++ b/duties/decision.go
@@ -2,30 +2,30 @@
 
 import "fmt"
 
-// Action names what a [Decision] asks the caller to do.
+// Action is the kind of a [Decision].
 type Action uint8
 
-// Actions.
+// The actions. Enabled and the other fields that the comments mention are those of [Decision].
 const (
-	ScheduleProbe      Action = iota // if the node is ejected here: send it no probe before the given instant, and one right then
-	SetWatch                         // on: start to watch discovery; off: leave the watch to other proxies
-	SetSuspicion                     // hint from other proxies; on: the node does not answer; off: it answers again
-	SetIdleConnections               // on: keep idle connections to the node; off: close them soon
-	Broadcast                        // send the report to all proxies; it is void once its time to live is over
+	ScheduleProbe      Action = iota // if this proxy has ejected the node, send it a probe at NotBefore and none earlier
+	SetWatch                         // start watching discovery if Enabled, else leave the watch to other proxies
+	SetSuspicion                     // other proxies report that the node does not respond, or if not Enabled that it does
+	SetIdleConnections               // keep idle connections to the node if Enabled, else close them soon
+	Broadcast                        // send the report to all proxies, which discard it after its TTL
 	LogMessage                       // write a log line
 )
 
-// Decision is one thing for the caller to do. Which fields are set depends on the action.
+// Decision is one instruction to the caller. Which fields are set depends on the action.
 type Decision struct {
 	Action    Action
-	Node      string     // name of the node that the action is about
-	NotBefore Time       // instant before which a node gets no probe, on the caller's clock
-	Enabled   bool       // whether the action switches something on, or off
-	Kind      ReportKind // of the report to send
-	Key       string     // name of the node or watcher that the report is about
+	Node      string     // name of the node that the action applies to
+	NotBefore Time       // earliest time of the next probe, on the caller's clock
+	Enabled   bool       // whether the action enables or disables
+	Kind      ReportKind // kind of the report to send
+	Key       string     // name of the node or watcher that the report describes
 	Report    Report     // body of the report
 	TTL       Time       // time to live of the report
-	Text      string     // of the log line
+	Text      string     // text of the log line
 }
 
 // decisionList collects the decisions of one call.
--- a/duties/idleconnections.go
+++ b/duties/idleconnections.go
@@ -2,26 +2,27 @@
 
 import "slices"
 
-// idleConnections decides to which nodes this proxy keeps idle connections.
+// idleConnections selects the nodes to which this proxy keeps idle connections.
 type idleConnections struct {
 	view      *fleetView
 	decisions *decisionList
 
-	ownedNodes       int // at the last assignment
-	listedNodes      int // likewise
-	ownershipChanges int64
+	ownedNodes       int   // nodes that this proxy owns, as of the last assignment
+	listedNodes      int   // nodes in the endpoint list, as of the last assignment
+	ownershipChanges int64 // nodes whose idle connections this proxy took over or gave up
 }
 
-// nodeAdded handles a new node, which this proxy owns until the next assignment. The caller may know the node from
-// an earlier endpoint list, and as another proxy's, so it is told in any case.
+// nodeAdded handles a new node, which this proxy owns until the next assignment. It always adds a decision: the node
+// may have been in an earlier endpoint list, and then the caller's last decision on it may be to close its connections.
 func (c *idleConnections) nodeAdded(n *node) {
 	if c.view.settings.IdleOwners > 0 {
 		c.decisions.add(Decision{Action: SetIdleConnections, Node: n.name, Enabled: true})
 	}
 }
 
-// ownedBySelf returns for each node whether this proxy is one of its owners. It owns all of them while it catches
-// up, and where there are not more proxies than owners.
+// ownedBySelf returns, for each node in the order of nodes.sorted, whether this proxy is one of its owners. This proxy
+// owns all nodes while it catches up, if no number of owners is configured, and if the fleet has no more proxies than
+// configured owners.
 func (c *idleConnections) ownedBySelf(nodes *nodeTable) []bool {
 	owned := make([]bool, len(nodes.sorted))
 	members, count := c.view.members, c.view.settings.IdleOwners
@@ -37,10 +38,10 @@
 	return owned
 }
 
-// startAssignment begins to count the nodes anew.
+// startAssignment resets the node counts.
 func (c *idleConnections) startAssignment(nodes int) { c.ownedNodes, c.listedNodes = 0, nodes }
 
-// setOwned sets whether this proxy owns a node from now on.
+// setOwned records whether this proxy owns a node, and adds a decision if that has changed.
 func (c *idleConnections) setOwned(n *node, owned bool) {
 	if owned {
 		c.ownedNodes++
--- a/duties/membership.go
+++ b/duties/membership.go
@@ -6,20 +6,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Proxy is a member of the fleet, as the replicated state knows it.
+// Proxy is a member of the fleet according to the replicated state.
 type Proxy struct {
 	Name, Zone string
-	Alive      bool // whether it is alive: its heartbeats have been seen lately
+	Alive      bool // whether its heartbeats arrived recently
 }
 
-// membership is the set of proxies that are alive, in the caller's order, with what rendezvous hashing needs. It
-// does not change once it is made. The slices run in parallel.
+// membership is the set of proxies that are alive, in the caller's order, prepared for rendezvous hashing. It is
+// immutable. The slices have one element for each proxy.
 type membership struct {
 	names     []string
-	hashes    []uint64 // of the names
-	zones     []int    // number of each proxy's zone, from 0
+	hashes    []uint64 // hashes of the names
+	zones     []int    // zone numbers, from 0
 	zoneCount int
-	alive     map[string]struct{} // the names
+	alive     map[string]struct{} // set of the names
 }
 
 func newMembership(all []Proxy) *membership {
@@ -50,18 +50,18 @@
 	return alive
 }
 
-// equal tells whether two memberships have the same proxies in the same zones and order.
+// equal reports whether two memberships have the same proxies in the same zones and order.
 func (m *membership) equal(other *membership) bool {
 	return slices.Equal(m.names, other.names) && slices.Equal(m.zones, other.zones)
 }
 
-// fleetView is what all parts of a proxy's decisions read: its settings, the time of the present call, and the fleet.
+// fleetView holds the inputs that all parts of an Assigner share.
 type fleetView struct {
 	settings   Settings
-	now        Time // never goes back
+	now        Time // time of the current call, which never decreases
 	members    *membership
-	catchingUp bool // the replicated state may be incomplete, so that no duty may be left to others
+	catchingUp bool // whether the replicated state may be incomplete, so that no duty may be left to other proxies
 }
 
-// selfRank is the number of proxies that come before this one in the order for a subject.
+// selfRank returns the number of proxies that precede this one in the order for a subject.
 func (v *fleetView) selfRank(subject uint64) int { return v.members.rank(subject, v.settings.Self) }
--- a/duties/nodes.go
+++ b/duties/nodes.go
@@ -7,34 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxNodes bounds the nodes whose duties are shared. For nodes beyond, each proxy acts for itself.
+// maxNodes is the maximum number of nodes whose duties are shared. Every proxy performs the duties of any other node.
 const maxNodes = 1024
 
-// node is a cache of the endpoint list, with the state that the duties about it have.
+// node is a node of the endpoint list, with the state of the duties that concern it.
 type node struct {
 	name    string
-	hash    uint64
-	ejected bool // by this proxy
-	owned   bool // this proxy keeps idle connections to it
+	hash    uint64 // hash of the name
+	ejected bool   // whether this proxy has ejected the node
+	owned   bool   // whether this proxy keeps idle connections to the node
 	probes  probeHistory
-	silence recentReports // other proxies that lately reported that it does not answer
+	silence recentReports // recent reports from other proxies that the node does not respond
 }
 
-// nodeTable holds the nodes of the endpoint list.
+// nodeTable holds the nodes of the endpoint list, at most maxNodes.
 type nodeTable struct {
 	byName map[string]*node
-	sorted []*node // by name
+	sorted []*node // the nodes, ordered by name
 }
 
-// nodeChanges is what an update of the endpoint list changed.
+// nodeChanges lists the changes that an update of the endpoint list made to a nodeTable.
 type nodeChanges struct {
-	added   []*node // in the order of the update
-	removed int
+	added   []*node // in the order of the endpoint list
+	removed int     // number of removed nodes
 }
 
 func (c *nodeChanges) any() bool { return len(c.added) > 0 || c.removed > 0 }
 
-// update replaces the nodes by those of an endpoint list. Nodes that stay keep their state.
+// update replaces the nodes with those of an endpoint list. Nodes that are still listed keep their state.
 func (t *nodeTable) update(names []string) nodeChanges {
 	var changes nodeChanges
 	listed := make(map[string]struct{}, len(names))
@@ -60,7 +60,7 @@
 	return changes
 }
 
-// hashes of the nodes, in the order of their names.
+// hashes returns the hashes of the node names, in the order of the names.
 func (t *nodeTable) hashes() []uint64 {
 	all := make([]uint64, len(t.sorted))
 	for i, n := range t.sorted {
