--- a/duties/owners.go
+++ b/duties/owners.go
@@ -6,25 +6,26 @@
 	"slices"
 )
 
-// Bounds of a proxy's load, relative to the mean load.
+// Parameters of the load limit of a proxy. The load is the number of subjects that a proxy owns.
 const (
-	headroom     = 1.1  // least capacity: with less, most subjects would not get the first proxies in their order
+	headroom     = 1.1  // minimum ratio of capacity to mean load; if lower, most subjects miss the first proxies in their order
 	capacityStep = 1.1  // ratio of two successive capacities
-	roundingSlip = 1e-9 // keeps errors of floating point from adding one to a whole capacity
+	roundingSlip = 1e-9 // prevents floating-point errors from rounding an integral capacity up by one
 )
 
-// capacity is the highest load that a proxy may have: the next value, over a tenth above the mean, of a geometric
-// series. Together that is less than a quarter above the mean. With the series the capacity changes with every tenth
-// proxy or so; if it changed with each, a proxy that joins would move duties that have nothing to do with it.
+// capacity returns the maximum load of a proxy: the mean load times headroom, rounded up to a power of capacityStep and
+// then to an integer. Before the second rounding it is less than a quarter above the mean. Due to the powers, the
+// capacity only changes when the size of the fleet changes by about a tenth: if it changed with every proxy, a proxy
+// that joins would also move duties between other proxies.
 func capacity(meanLoad float64) int {
 	exponent := math.Ceil(math.Log(meanLoad*headroom) / math.Log(capacityStep))
 	return int(math.Ceil(math.Pow(capacityStep, exponent) - roundingSlip))
 }
 
-// assignOwners gives each subject its owners, by index into the membership: count proxies, or all if there are
-// fewer. It takes those that come first in the subject's order, from as many zones as possible, and skips proxies at
-// capacity. Subjects are assigned in the order of their hashes. A load is at most a quarter above the mean, rounded
-// up, except where the last subjects find no proxy below capacity.
+// assignOwners returns the owners of each subject, as indexes into the membership: count proxies, or all if there are
+// fewer. It selects the first proxies in the subject's order, from as many zones as possible, and skips proxies at
+// capacity. Subjects are assigned in the order of their hashes. No load exceeds the mean by more than a quarter, rounded
+// up, unless no proxy below capacity remains for the last subjects.
 func (m *membership) assignOwners(subjects []uint64, count int) [][]int32 {
 	proxies := len(m.hashes)
 	count = min(count, proxies)
@@ -44,14 +45,14 @@
 	return owners
 }
 
-// ownerAssignment is the state of one run of assignOwners. Slices but zoneOwners run in parallel with the
-// membership's.
+// ownerAssignment is the state of one call of assignOwners. All slices except zoneOwners have one element for each
+// proxy, in the order of the membership.
 type ownerAssignment struct {
-	capacity    int
-	loads       []int // subjects that each proxy owns so far
-	mixedHashes []uint64
-	zones       []int
-	zoneOwners  []int // owners of the present subject in each zone
+	capacity    int      // maximum load of a proxy
+	loads       []int    // number of subjects that each proxy owns so far
+	mixedHashes []uint64 // results of mix for the hashes of the proxy names
+	zones       []int    // zone numbers
+	zoneOwners  []int    // number of owners of the current subject in each zone
 }
 
 func newOwnerAssignment(m *membership, capacity int) *ownerAssignment {
@@ -68,14 +69,14 @@
 	return a
 }
 
-// noProxy stands for the index of a proxy where none was found.
+// noProxy is returned in place of a proxy's index if no proxy was found.
 const noProxy = -1
 
-// assign picks the owners of one subject. There have to be at least count proxies.
+// assign selects the owners of one subject. There must be at least count proxies.
 func (a *ownerAssignment) assign(subject uint64, count int) []int32 {
 	var owners []int32
 	clear(a.zoneOwners)
-	zoneLimit := 0 // zones with more owners than this are skipped
+	zoneLimit := 0 // zones with more owners of the subject are skipped
 	for len(owners) < count {
 		c := a.firstCandidate(subject, owners, zoneLimit)
 		if c.proxy == noProxy && c.otherZones {
@@ -92,14 +93,14 @@
 	return owners
 }
 
-// candidate is what a search for the next owner found.
+// candidate is the result of a search for the next owner.
 type candidate struct {
 	proxy      int  // index, or noProxy
-	otherZones bool // some proxy is below capacity, but its zone may have been skipped
+	otherZones bool // whether some proxy is below capacity, although its zone may have been skipped
 }
 
-// firstCandidate finds the proxy with the highest score among those below capacity in zones with at most zoneLimit
-// owners.
+// firstCandidate returns the proxy with the highest score for a subject among the proxies that are below capacity, not
+// yet owners, and in a zone with at most zoneLimit owners.
 func (a *ownerAssignment) firstCandidate(subject uint64, owners []int32, zoneLimit int) candidate {
 	found, highest := candidate{proxy: noProxy}, uint64(0)
 	for i, mixed := range a.mixedHashes {
@@ -117,7 +118,7 @@
 	return found
 }
 
-// leastLoaded finds the proxy with the lowest load among those that are not yet owners, at capacity or not.
+// leastLoaded returns the proxy with the lowest load among those that are not yet owners, even if it is at capacity.
 func (a *ownerAssignment) leastLoaded(owners []int32) int {
 	least := noProxy
 	for i, load := range a.loads {
