--- a/duties/probes.go
+++ b/duties/probes.go
@@ -6,75 +6,77 @@
 )
 
 const (
-	// reportWindowIntervals is how many probe intervals a report on a probe counts for.
+	// reportWindowIntervals is the number of probe intervals for which a probe report is taken into account.
 	reportWindowIntervals = 8
 
-	// maxRecentReports bounds the proxies whose latest reports are remembered for each node.
+	// maxRecentReports is the maximum number of recent probers, and of recent failure reports, kept for each node.
 	maxRecentReports = 8
 
-	// maxRoundJump bounds how far a report may be ahead of the known round, so that a bad one cannot exhaust the
-	// numbers.
+	// maxRoundJump is the maximum number of rounds by which a report may be ahead of the current round, so that a bad
+	// report cannot exhaust the round numbers.
 	maxRoundJump = 1 << 20
 
-	// maxAnsweredBy is how many proxies have to report an answer before all proxies probe the node.
+	// maxAnsweredBy is the number of proxies that have to report a successful probe before all proxies probe the node.
 	maxAnsweredBy = 2
 
-	// probersAfterAnswer is how many proxies probe the node at once when one has reported an answer.
+	// probersAfterAnswer is the number of proxies that probe the node at once after one has reported a successful probe.
 	probersAfterAnswer = 4
 
-	// recentProberDelays is the number of takeover delays that a proxy adds if it has probed the node lately, which
-	// puts it after most others.
+	// recentProberDelays is the number of additional takeover delays for a proxy that probed the node recently, which
+	// ranks it after most other proxies.
 	recentProberDelays = 2
 )
 
-// reportWindow is the span in which reports on probes count.
+// reportWindow returns the time for which a probe report is taken into account.
 func (v *fleetView) reportWindow() Time { return reportWindowIntervals * v.settings.ProbeInterval }
 
-// oldestReport is the earliest instant from which reports on probes still count.
+// oldestReport returns the time of the oldest probe report that is still taken into account.
 func (v *fleetView) oldestReport() Time { return v.now - v.reportWindow() }
 
-// probeHistory is what is known of the fleet's probes of one node.
+// probeHistory is the history of the fleet's probes of one node.
 type probeHistory struct {
-	round          int64
-	latest         Time          // when the latest probe that counts was sent, or when the node was first ejected
-	recentProbers  recentReports // proxies that have sent a probe lately
-	falseAnswers   recentReports // proxies that lately reported an answer when the node did not answer
-	answeredBy     []string      // proxies that report an answer since the last failed probe, maxAnsweredBy at most
-	scheduledProbe Time          // as the caller was last told, 0: not told
+	round          int64         // number of the current probe; proxies are ranked differently in each round
+	latest         Time          // when the latest accepted probe was sent, or when the node was first ejected
+	recentProbers  recentReports // proxies that sent a probe recently
+	falseAnswers   recentReports // proxies whose recent report of success was followed by a failed probe
+	answeredBy     []string      // proxies that reported success since the last failed probe, at most maxAnsweredBy
+	scheduledProbe Time          // time in the last ScheduleProbe decision, 0 if a new decision is needed
 }
 
-// probeScheduler decides when this proxy probes the nodes that it has ejected, so that the fleet as a whole sends
-// one probe in each probe interval.
+// probeScheduler decides when this proxy probes the nodes that it has ejected, so that the whole fleet sends about one
+// probe of a node in each probe interval.
 type probeScheduler struct {
 	view      *fleetView
 	decisions *decisionList
 
+	// The counters that [Statistics] describes.
 	probesSent      int64
 	reportsReceived int64
 	duplicateProbes int64
 	rejectedReports int64
 }
 
-// setEjected records that this proxy has ejected a node, or that the node answers here.
+// setEjected records that this proxy has ejected a node, or that the node responds to this proxy again.
 func (s *probeScheduler) setEjected(n *node, ejected bool) {
 	if n.ejected == ejected {
 		return
 	}
 	n.ejected = ejected
 	if !ejected {
-		if n.probes.latest+s.view.reportWindow() > s.view.now { // others have ejected it as well and wait for this report
+		// after a recent probe, other proxies that have ejected the node wait for a report of success
+		if n.probes.latest+s.view.reportWindow() > s.view.now {
 			s.report(n, ProbeSucceeded)
 		}
 		return
 	}
-	if n.probes.latest < s.view.oldestReport() { // nobody has probed it: what this proxy found is as good as a probe
+	if n.probes.latest < s.view.oldestReport() { // without a recent probe, this proxy's failed requests count as one
 		n.probes.latest = s.view.now
 		n.probes.answeredBy = n.probes.answeredBy[:0]
 	}
 	s.report(n, ProbeFailed)
 }
 
-// sent records that a probe of this proxy's was sent.
+// sent records that this proxy has sent a probe, and reports it to the other proxies.
 func (s *probeScheduler) sent(n *node) {
 	if n.ejected {
 		s.probesSent++
@@ -82,14 +84,14 @@
 	}
 }
 
-// failed records that a probe of this proxy's was not answered.
+// failed records that the node did not respond to this proxy's probe, and reports it to the other proxies.
 func (s *probeScheduler) failed(n *node) {
 	if n.ejected {
 		s.report(n, ProbeFailed)
 	}
 }
 
-// report records the state of this proxy's own probe, sends it to the other proxies, and schedules the next probe.
+// report records the outcome of this proxy's own probe, reports it to the other proxies, and schedules the next probe.
 func (s *probeScheduler) report(n *node, outcome ProbeOutcome) {
 	if outcome == ProbeStarted {
 		n.probes.round++
@@ -99,18 +101,18 @@
 		Action: Broadcast, Kind: ProbeReport, Key: n.name,
 		Report: Report{Round: n.probes.round, Outcome: outcome}, TTL: s.view.reportWindow(),
 	})
-	n.probes.scheduledProbe = 0 // the caller has chosen a time of its own meanwhile
+	n.probes.scheduledProbe = 0 // the caller has replaced the scheduled time by its own
 	s.schedule(n)
 }
 
-// accepts tells whether another proxy's report is about a known node (not nil), within bounds, and recent.
+// accepts reports whether another proxy's report concerns a known node (not nil), is within bounds, and is recent.
 func (s *probeScheduler) accepts(n *node, report Report, age Time) bool {
 	return n != nil && s.view.settings.ShareProbes &&
 		report.Round >= 0 && report.Round <= n.probes.round+maxRoundJump &&
 		report.Outcome <= ProbeSucceeded && age <= s.view.reportWindow()
 }
 
-// peerReported handles another proxy's report of the given age, and tells whether it was accepted.
+// peerReported handles a report of the given age from another proxy, and reports whether it was accepted.
 func (s *probeScheduler) peerReported(n *node, proxy string, report Report, age Time) bool {
 	if !s.accepts(n, report, age) {
 		s.rejectedReports++
@@ -128,9 +130,9 @@
 	return true
 }
 
-// record notes a report on a probe, and tells whether it counts. Its limits bound what a faulty proxy can do: one
-// that claims every probe and sends none delays the others by one interval in eight or so, and one that reports of a
-// silent node that it answers causes four probes.
+// record records a probe report, and returns whether it may change the schedule. Its limits bound the effect of a faulty
+// proxy: one that reports every probe as started but sends none delays the other proxies' probes by about one interval in
+// eight, and one that reports success for a node that does not respond causes four probes.
 func (s *probeScheduler) record(n *node, proxy string, at Time, outcome ProbeOutcome) bool {
 	oldest := s.view.oldestReport()
 	n.probes.recentProbers = n.probes.recentProbers.since(oldest)
@@ -146,7 +148,7 @@
 	return true
 }
 
-// recordStart begins a new probe interval, unless the proxy has probed the node lately.
+// recordStart starts a new probe interval and returns true, unless the proxy has probed the node recently.
 func (s *probeScheduler) recordStart(p *probeHistory, proxy string, at Time) bool {
 	if p.recentProbers.includes(proxy) {
 		return false
@@ -159,7 +161,7 @@
 	return true
 }
 
-// recordFailure makes the reports of answers before it false ones.
+// recordFailure marks the reports of success since the previous failure as false.
 func (s *probeScheduler) recordFailure(p *probeHistory, proxy string, at Time) {
 	s.recordStart(p, proxy, at) // the report that the probe was sent may have been lost
 	for _, answered := range p.answeredBy {
@@ -168,15 +170,15 @@
 	p.answeredBy = p.answeredBy[:0]
 }
 
-// recordSuccess notes an answer, unless the proxy reported a false one lately.
+// recordSuccess records a report of success, unless the proxy recently made a false one.
 func (s *probeScheduler) recordSuccess(p *probeHistory, proxy string) {
 	if !slices.Contains(p.answeredBy, proxy) && len(p.answeredBy) < maxAnsweredBy && !p.falseAnswers.includes(proxy) {
 		p.answeredBy = append(p.answeredBy, proxy)
 	}
 }
 
-// schedule tells the caller when this proxy may send its next probe of a node, if that has changed. A proxy that
-// catches up, or has no peers, goes by its own clock.
+// schedule adds a decision on the time of this proxy's next probe of a node, if that time has changed. It adds none
+// while the proxy catches up or has no peers: then the caller sends probes at the times it chooses itself.
 func (s *probeScheduler) schedule(n *node) {
 	if s.view.catchingUp || s.view.members.size() < 2 {
 		return
@@ -188,9 +190,10 @@
 	}
 }
 
-// nextProbe is when this proxy may probe a node. The first proxy in the order of the round may when the probe
-// interval is over, and twice as many with each takeover delay in which no probe is reported. When one proxy reports
-// an answer, the first four probe at once; when two do, all proxies.
+// nextProbe returns the time from which this proxy may probe a node. The first proxy in the order of the round may send
+// a probe after the probe interval. The number of proxies that may do so doubles with each takeover delay without a
+// reported probe. After a report of success from one proxy, the first four proxies probe at once; after reports from
+// two, all proxies do.
 func (s *probeScheduler) nextProbe(n *node) Time {
 	p := &n.probes
 	rank := s.view.selfRank(n.hash ^ mix(uint64(p.round)))
--- a/duties/suspicion.go
+++ b/duties/suspicion.go
@@ -1,17 +1,17 @@
 package duties
 
-// minSilenceReports is how many proxies have to report that a node does not answer before this one suspects it: a
-// single proxy may lie, or be the one that is cut off.
+// minSilenceReports is the minimum number of other proxies that have to report a node as not responding before this
+// proxy suspects it. A single proxy may send false reports, or may itself have lost its connection to the node.
 const minSilenceReports = 2
 
-// suspicion turns other proxies' reports into hints about nodes that this proxy has not ejected itself.
+// suspicion derives hints from other proxies' reports, on nodes that this proxy has not ejected itself.
 type suspicion struct {
 	view      *fleetView
 	decisions *decisionList
 }
 
-// reported handles another proxy's report on a probe. A proxy that repeats itself within the report window counts
-// once.
+// reported handles a probe report from another proxy. Several reports of failure from the same proxy within the report
+// window count once.
 func (s *suspicion) reported(n *node, proxy string, at Time, outcome ProbeOutcome) {
 	n.silence = n.silence.since(s.view.oldestReport())
 	switch {
