--- a/duties/settings.go
+++ b/duties/settings.go
@@ -6,27 +6,27 @@
 	"woodproxy/internal/configfile"
 )
 
-// Settings is the configuration of one proxy. Spans are in units of [Time]; the Check method enforces their ranges.
+// Settings is the configuration of one proxy. The Check method enforces the ranges.
 type Settings struct {
 	Self              string // name of this proxy
 	Watchers          int    // proxies that watch discovery for the fleet, 2 to 64; 0: each proxy watches for itself
-	IdleOwners        int    // proxies that keep idle connections to a node, 0 to 64; 0: all proxies do
-	ShareProbes       bool   // whether probes of nodes that stopped answering are shared
-	ProbeInterval     Time   // interval between two probes of a node by the fleet, 50 ms to 60 s
-	TakeoverDelay     Time   // twice as many proxies may take over each time this span passes without a report, 20 ms to 10 s
+	IdleOwners        int    // proxies that keep idle connections to a node, 1 to 64; 0: all proxies do
+	ShareProbes       bool   // whether the probes of ejected nodes are shared
+	ProbeInterval     Time   // interval between the fleet's probes of a node, 50 ms to 60 s
+	TakeoverDelay     Time   // time without a report that doubles the number of proxies that may take over, 20 ms to 10 s
 	HeartbeatInterval Time   // interval between two heartbeats of a watcher, 100 ms to 2 s
-	LeaseDuration     Time   // how long a heartbeat is valid, 200 ms to 4 s, at least two heartbeat intervals
+	LeaseDuration     Time   // validity of a heartbeat, 200 ms to 4 s, at least two heartbeat intervals
 }
 
-// maxReplicas is the highest configurable number of watchers, and of owners of a node's idle connections.
+// maxReplicas is the maximum number of watchers, and of owners of a node's idle connections.
 const maxReplicas = 64
 
-// minHeartbeatsPerLease is how many heartbeat intervals a lease has to span, so that one lost heartbeat does not end
-// it.
+// minHeartbeatsPerLease is the minimum number of heartbeat intervals in a lease, so that the loss of one heartbeat does
+// not end the lease.
 const minHeartbeatsPerLease = 2
 
-// Check returns a *[RangeError] for the first value that is out of its range, or an error that names both spans if a
-// heartbeat is valid for less than two heartbeat intervals. Errors name the keys of the configuration file.
+// Check returns a *[RangeError] for the first value that is out of its range, or a *[SpanRatioError] if a lease is
+// shorter than two heartbeat intervals. Errors name the keys of the configuration file.
 func (s *Settings) Check() error {
 	err := configfile.CheckRanges(
 		configfile.Range("watchers", float64(s.Watchers), 0, maxReplicas),
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	if s.Watchers == 1 { // if the only watcher died, the whole fleet would get no watch events for a while
+	if s.Watchers == 1 { // if the only watcher failed, the whole fleet would receive no watch events for a while
 		return configfile.CheckRanges(configfile.Range("watchers", 1, 2, maxReplicas))
 	}
 	if s.LeaseDuration < minHeartbeatsPerLease*s.HeartbeatInterval {
@@ -54,20 +54,20 @@
 // RangeError reports a configured value that is out of its range.
 type RangeError = configfile.RangeError
 
-// SpanRatioError reports two configured spans of which the second is not longer than the first by the required factor.
+// SpanRatioError reports two configured durations whose ratio is too small.
 type SpanRatioError struct {
 	ShortKey, LongKey string  // keys of the configuration file
 	Short, Long       float64 // configured values, in milliseconds
-	MinRatio          float64 // least allowed Long / Short
+	MinRatio          float64 // minimum of Long / Short
 }
 
-// Error names both keys and says which one to change.
+// Error names both keys and says how to change them.
 func (e *SpanRatioError) Error() string {
 	return fmt.Sprintf("%s: %v: less than %v times %s, %v; raise it, or lower %s",
 		e.LongKey, e.Long, e.MinRatio, e.ShortKey, e.Short, e.ShortKey)
 }
 
-// NoPeersError reports that duties are configured on a proxy that has no peers to share them with.
+// NoPeersError reports that duties are configured on a proxy without gossip, which has no peers to share them with.
 type NoPeersError struct {
 	File string // path of the duties configuration file
 }
--- a/duties/watch.go
+++ b/duties/watch.go
@@ -2,31 +2,32 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// discoverySubject orders the proxies for the watch of discovery.
+// discoverySubject is the subject that orders the proxies for the discovery watch.
 var discoverySubject = xxhash.Sum64String("discovery")
 
 const (
-	// longAgo lies before the start by more than any interval, so that what is due by interval is due at once.
+	// longAgo is longer than every interval. An action whose last time is initialized to longAgo before the start is due
+	// at once.
 	longAgo = 1000 * Second
 
-	// maxDoublings bounds how often the number of proxies that take over is doubled; it is enough for any fleet.
+	// maxDoublings is the maximum number of doublings of the proxies that may take over, large enough for any fleet.
 	maxDoublings = 20
 )
 
-// watchDuty decides whether this proxy watches discovery. Watchers hold leases that they renew by heartbeats.
+// watchDuty decides whether this proxy watches discovery. Watchers hold leases that they renew with heartbeats.
 type watchDuty struct {
 	view      *fleetView
 	decisions *decisionList
 
-	leases      map[string]Time // by other watcher: when its lease expires
-	leaseCount  int             // valid leases of other proxies, at the present tick
-	precedence  int             // of these, of proxies that come before this one in the order
-	shortSince  Time            // since when too few proxies before this one hold leases, 0: enough do
-	assigned    bool            // this proxy is to watch, as the caller was told
-	live        bool            // this proxy's own watch works
-	surplus     bool            // this proxy is not among the first that are to watch
-	heartbeatAt Time            // when the last heartbeat was sent
-	watchers    int             // proxies with a valid lease, this one included, at the last tick
+	leases      map[string]Time // expiry times of the leases of other watchers, by name
+	leaseCount  int             // number of valid leases of other proxies, as of the current tick
+	precedence  int             // number of valid leases of proxies that precede this one in the order
+	shortSince  Time            // start of the current shortage of preceding watchers, 0 if there is none
+	assigned    bool            // whether this proxy is assigned to watch, by the last SetWatch decision or initially
+	live        bool            // whether this proxy's own watch works
+	surplus     bool            // whether this proxy's rank is beyond the configured number of watchers
+	heartbeatAt Time            // time of the last heartbeat
+	watchers    int             // number of proxies with a valid lease, including this one, as of the last tick
 }
 
 func newWatchDuty(view *fleetView, decisions *decisionList) watchDuty {
@@ -36,8 +37,9 @@
 	}
 }
 
-// renewLease handles another proxy's heartbeat. The sender states how long it is valid, within what this proxy's
-// settings allow, since a proxy that claims to watch forever would hold its lease without watching.
+// renewLease handles another proxy's heartbeat. The validity that the sender states is limited to between one and one
+// and a half times the lease duration in this proxy's settings, since a proxy that claims an unlimited validity would
+// hold its lease without watching.
 func (w *watchDuty) renewLease(proxy string, sentAt, validFor Time) {
 	shortest := w.view.settings.LeaseDuration
 	if expires := sentAt + min(max(validFor, shortest), extended(shortest)); expires > w.view.now {
@@ -45,10 +47,10 @@
 	}
 }
 
-// extended is how long a surplus watcher's heartbeat is valid.
+// extended returns the validity of a surplus watcher's heartbeat.
 func extended(lease Time) Time { return lease * 3 / 2 }
 
-// expireLeases drops the leases that are over, and counts the others.
+// expireLeases removes expired leases and counts the valid ones.
 func (w *watchDuty) expireLeases() {
 	w.leaseCount, w.precedence = 0, 0
 	for proxy, expires := range w.leases {
@@ -63,7 +65,8 @@
 	}
 }
 
-// countWatchers returns how many proxies have a valid lease, this one included if it is to watch and its watch works.
+// countWatchers returns the number of proxies with a valid lease. It includes this proxy if it is assigned to watch and
+// its watch works.
 func (w *watchDuty) countWatchers() int {
 	if w.live && w.assigned {
 		return w.leaseCount + 1
@@ -71,14 +74,13 @@
 	return w.leaseCount
 }
 
-// updateSurplus determines anew, after the fleet has changed, whether this proxy is among the first that are to
-// watch.
+// updateSurplus updates surplus after a change of the fleet.
 func (w *watchDuty) updateSurplus() {
 	w.surplus = w.view.selfRank(discoverySubject) >= w.view.settings.Watchers
 }
 
-// heartbeatDue tells whether this proxy watches and its last heartbeat is an interval ago. A surplus watcher sends
-// half as many.
+// heartbeatDue reports whether this proxy watches discovery and a heartbeat interval has passed since its last
+// heartbeat. The interval of a surplus watcher is twice as long.
 func (w *watchDuty) heartbeatDue() bool {
 	interval := w.view.settings.HeartbeatInterval
 	if w.surplus {
@@ -87,8 +89,8 @@
 	return w.view.settings.Watchers > 0 && w.live && w.assigned && w.view.now-w.heartbeatAt >= interval
 }
 
-// sendHeartbeat renews this proxy's lease. A surplus watcher's is valid for longer, as it sends fewer heartbeats:
-// where a whole fleet watches, the heartbeats themselves would else be late.
+// sendHeartbeat renews this proxy's lease. A surplus watcher sends fewer heartbeats, which are valid for longer:
+// otherwise, when a whole fleet watches, the heartbeats themselves would be delayed.
 func (w *watchDuty) sendHeartbeat() {
 	w.heartbeatAt = w.view.now
 	validFor := w.view.settings.LeaseDuration
@@ -100,25 +102,27 @@
 	})
 }
 
-// short tells whether fewer proxies than wanted, of those before this one in the order, hold a valid lease. One
-// proxy that lies, or whose watch hangs, takes the watch from nobody, since at least two are wanted.
+// short reports whether fewer proxies than the configured number of watchers precede this one in the order and hold a
+// valid lease. Since at least two watchers are required, a single proxy that holds a lease although its watch hangs, or
+// that sends false heartbeats, does not leave the fleet without a watch.
 func (w *watchDuty) short() bool { return w.precedence < w.view.settings.Watchers }
 
-// shortageChanged tells whether a shortage of watchers has begun or ended.
+// shortageChanged reports whether a shortage of watchers has started or ended.
 func (w *watchDuty) shortageChanged() bool { return (w.shortSince > 0) != w.short() }
 
-// toggleShortage notes when a shortage of watchers began, or that it has ended.
+// toggleShortage records the start or the end of a shortage of watchers.
 func (w *watchDuty) toggleShortage() {
 	if w.shortSince == 0 {
-		w.shortSince = max(w.view.now, 1) // 0 stands for no shortage
+		w.shortSince = max(w.view.now, 1) // 0 means that there is no shortage
 	} else {
 		w.shortSince = 0
 	}
 }
 
-// wanted tells whether this proxy is to watch: if it is among the first in the order, as many as configured. During
-// a shortage, twice as many are with each takeover delay; of these, those stay that are needed. A proxy that catches
-// up, or whose fleet has no more proxies than watchers, always watches.
+// wanted reports whether this proxy should watch discovery. It should if it is among the first proxies in the order, up
+// to the configured number of watchers. During a shortage that number doubles with each takeover delay, and a proxy
+// that has taken over watches until the shortage ends. A proxy that catches up, or whose fleet has no more proxies than
+// configured watchers, always watches.
 func (w *watchDuty) wanted() bool {
 	settings := &w.view.settings
 	if settings.Watchers == 0 || w.view.catchingUp || w.view.members.size() <= settings.Watchers {
@@ -131,7 +135,7 @@
 	return w.assigned || w.view.selfRank(discoverySubject) < settings.Watchers<<doublings
 }
 
-// assignmentChanged tells whether this proxy is to start or to stop its watch.
+// assignmentChanged reports whether this proxy has to start or stop its watch.
 func (w *watchDuty) assignmentChanged() bool { return w.assigned != w.wanted() }
 
 // toggleAssignment starts or stops this proxy's watch.
