--- a/duties/owners_test.go
+++ b/duties/owners_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// makeMembers returns proxies n0, n1, ... that are alive, spread over zones in turn.
+// makeMembers returns proxies n0, n1, ... that are alive and distributed round-robin over zones.
 func makeMembers(count, zones int) []Proxy {
 	all := make([]Proxy, count)
 	for i := range all {
@@ -26,30 +26,32 @@
 	return all
 }
 
-// findAssignmentFault says what is wrong with an assignment, "" if nothing is: too few owners of a subject, one
-// proxy twice among them, or too high a load.
+// findAssignmentFault returns a description of the first fault of an assignment, or "" if there is none. Faults are a
+// subject with too few owners or with the same owner twice, and a load above the limit.
 func findAssignmentFault(m *membership, assignment [][]int32, ownerCount int) string {
 	proxies := m.size()
 	loads := make([]int, proxies)
 	for subject, owners := range assignment {
 		if len(owners) != min(ownerCount, proxies) {
-			return fmt.Sprintf("subject %d has %d of %d owners", subject, len(owners), ownerCount)
+			return fmt.Sprintf("subject %d: got %d of %d owners", subject, len(owners), ownerCount)
 		}
 		for i, p := range owners {
 			if slices.Contains(owners[:i], p) {
-				return fmt.Sprintf("subject %d has an owner twice", subject)
+				return fmt.Sprintf("subject %d has the same owner twice", subject)
 			}
 			loads[p]++
 		}
 	}
 	mean := float64(ownerCount) * float64(len(assignment)) / float64(proxies)
 	if highest := slices.Max(loads); float64(highest) > math.Ceil(1.25*mean) && ownerCount < proxies {
-		return fmt.Sprintf("%d proxies, %d subjects: one owns %d, the mean is %.2f", proxies, len(assignment), highest, mean)
+		return fmt.Sprintf("%d proxies, %d subjects: got highest load %d, want at most a quarter above the mean of %.2f",
+			proxies, len(assignment), highest, mean)
 	}
 	return ""
 }
 
-// Each subject has as many owners as configured, and no proxy owns more than a quarter above the mean, at every size.
+// At every fleet size, each subject has the configured number of owners, and no load is more than a quarter above the
+// mean.
 func TestOwnersAreComplete(t *testing.T) {
 	for _, proxies := range []int{1, 2, 3, 4, 5, 7, 8, 12, 24, 60, 300, 1000, 2000} {
 		for _, subjects := range []int{1, 3, 14, 90, 200} {
@@ -72,7 +74,7 @@
 		zones := rapid.IntRange(1, 6).Draw(t, "zones")
 		ownerCount := rapid.IntRange(1, 6).Draw(t, "owners")
 		members := makeMembers(proxies, zones)
-		for i := range members { // any proxy but the first may be gone, among them the first or last of a zone
+		for i := range members { // any proxy but the first may have departed, including the first or last of a zone
 			members[i].Alive = i == 0 || rapid.IntRange(0, 3).Draw(t, "alive") > 0
 		}
 		m := newMembership(members)
@@ -83,8 +85,8 @@
 	})
 }
 
-// The check of the tests above finds loads that nothing bounds: of plain rendezvous hashing, where the first proxies
-// in the order own a subject however many they own already.
+// findAssignmentFault finds loads above the limit: with plain rendezvous hashing the first proxies in the order own a
+// subject regardless of their loads.
 func TestUnboundedLoadsAreFound(t *testing.T) {
 	const ownerCount = 4
 	m := newMembership(makeMembers(24, 3))
@@ -97,7 +99,7 @@
 		}
 	}
 	if findAssignmentFault(m, assignment, ownerCount) == "" {
-		t.Error("unbounded loads pass the check")
+		t.Error("got no fault for unbounded loads, want one")
 	}
 }
 
@@ -110,12 +112,12 @@
 			zones[m.zones[p]] = true
 		}
 		if len(zones) != zoneCount {
-			t.Errorf("subject %d: owners %v stand in %d zones", subject, owners, len(zones))
+			t.Errorf("subject %d: got owners %v in %d zones, want owners in all zones", subject, owners, len(zones))
 		}
 	}
 }
 
-// ownership is an assignment with the membership that it was made for.
+// ownership is an assignment and the membership to which its indexes refer.
 type ownership struct {
 	members *membership
 	owners  [][]int32
@@ -126,7 +128,7 @@
 	return ownership{m, m.assignOwners(subjects, ownerCount)}
 }
 
-// countMoved counts the owners that are no longer ones of the same subject afterwards.
+// countMoved returns the number of owners in one assignment that do not own the same subject in a later assignment.
 func countMoved(before, after ownership) int {
 	moved := 0
 	for subject, owners := range before.owners {
@@ -141,9 +143,9 @@
 	return moved
 }
 
-// A proxy that leaves moves the subjects that it owned, and others that follow from the bound of loads: twice its
-// share in the mean over all fleets, and never over a fifth of all ownerships, even where the capacity takes its
-// next step.
+// When a proxy leaves, the subjects that it owned move, and some others due to the limit of loads: on average over all
+// fleet sizes at most twice as many as it owned. Even where the capacity changes, a single departure moves at most a
+// fifth of all ownerships beyond one and a quarter times those of the departed proxy.
 func TestLeavingProxyMovesLittle(t *testing.T) {
 	const ownerCount = 4
 	subjects := makeSubjects(90)
@@ -159,12 +161,13 @@
 			sumOfShares += moved / share
 			changes++
 			if moved > 1.25*share+0.2*ownerships {
-				t.Errorf("%d proxies: when proxy %d leaves, %v of %v ownerships move", proxies, leaving, moved, ownerships)
+				t.Errorf("%d proxies: when proxy %d leaves, got %v of %v ownerships moved, want fewer",
+					proxies, leaving, moved, ownerships)
 			}
 		}
 	}
 	if mean := sumOfShares / float64(changes); mean > 2 {
-		t.Errorf("a proxy that leaves moves %.2f times its share in the mean", mean)
+		t.Errorf("got %.2f times the mean load moved by a proxy that leaves, on average; want at most 2", mean)
 	}
 }
 
--- a/duties/settings_test.go
+++ b/duties/settings_test.go
@@ -27,7 +27,7 @@
 			c.change(&settings)
 			var rangeError *RangeError
 			if err := settings.Check(); !errors.As(err, &rangeError) || rangeError.Key != c.key {
-				t.Errorf("%v, want an error of %s", err, c.key)
+				t.Errorf("got error %v, want a range error for %s", err, c.key)
 			}
 		})
 	}
@@ -36,8 +36,8 @@
 func TestLeaseShorterThanTwoHeartbeatsIsAnError(t *testing.T) {
 	settings := defaultSettings
 	settings.LeaseDuration = settings.HeartbeatInterval
-	var orderError *SpanRatioError
-	if err := settings.Check(); !errors.As(err, &orderError) || orderError.LongKey != "patience_ms" {
-		t.Errorf("%v, want an error of patience_ms", err)
+	var ratioError *SpanRatioError
+	if err := settings.Check(); !errors.As(err, &ratioError) || ratioError.LongKey != "patience_ms" {
+		t.Errorf("got error %v, want a ratio error for patience_ms", err)
 	}
 }
--- a/duties/suspicion_test.go
+++ b/duties/suspicion_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Two other proxies that find a node silent raise suspicion before this proxy has lost a request there; one that
-// repeats itself does not.
+// Reports from two other proxies that a node does not respond raise suspicion before a request of this proxy to the
+// node has failed; repeated reports from one proxy do not.
 func TestTwoProxiesRaiseSuspicion(t *testing.T) {
 	a := newAssigner(t, "n0", makeMembers(9, 1))
 	a.SetNodes(0, []string{"c1"})
@@ -18,13 +18,13 @@
 	}
 	for i := range 5 {
 		if got := hintsAfter(Time(i)*Second/10, "n1", ProbeFailed); len(got) > 0 {
-			t.Errorf("report %d of a single proxy: hints %v, want none", i, got)
+			t.Errorf("report %d from a single proxy: got hints %v, want none", i, got)
 		}
 	}
 	if got := hintsAfter(Second, "n2", ProbeFailed); len(got) != 1 || !got[0] {
-		t.Errorf("report of a second proxy: hints %v, want suspicion", got)
+		t.Errorf("report from a second proxy: got hints %v, want [true]", got)
 	}
 	if got := hintsAfter(Second, "n3", ProbeSucceeded); len(got) != 1 || got[0] {
-		t.Errorf("report of an answer: hints %v, want the end of suspicion", got)
+		t.Errorf("report of success: got hints %v, want [false]", got)
 	}
 }
--- a/duties/wire_golden_test.go
+++ b/duties/wire_golden_test.go
@@ -8,7 +8,7 @@
 	"woodproxy/duties"
 )
 
-// TestGoldenReport pins the encoding of the body of reports on probes and of heartbeats.
+// The encoding of the body of probe reports and of heartbeats must not change.
 func TestGoldenReport(t *testing.T) {
 	goldentest.Msgpack(t, "said.golden", []goldentest.Value{
 		{Name: "said-full", Full: true, Value: &duties.Report{Round: 70000, Outcome: duties.ProbeSucceeded, ValidFor: 25000}},
@@ -19,7 +19,7 @@
 	})
 }
 
-// TestWireNumbers pins the numbers that go on the wire, and those by which the caller picks the kind of a row.
+// The values that are sent to other proxies, and those that the caller uses to select the kind of a row, must not change.
 func TestWireNumbers(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -34,7 +34,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
-				t.Errorf("%d, want %d", c.got, c.want)
+				t.Errorf("got %d, want %d", c.got, c.want)
 			}
 		})
 	}
