--- a/negativecache/table.go
+++ b/negativecache/table.go
@@ -8,7 +8,7 @@
 // stripeCount is the number of lock stripes of a table. A hash selects its stripe by its highest 8 bits.
 const stripeCount = 256
 
-// stripe is a part of a table with a lock of its own.
+// stripe is a part of a table with its own lock.
 type stripe struct {
 	mutex   sync.Mutex
 	buckets []bucket
@@ -19,17 +19,17 @@
 // at the start and does not grow. Its methods may be called from any goroutine.
 type Table struct {
 	stripes      [stripeCount]stripe
-	bucketMask   uint64
-	ttl          Time          // of absent keys; a write may reach the origin for as long
-	servingUntil atomic.Int64  // lookups find nothing from this instant on, a Time
+	bucketMask   uint64        // number of buckets per stripe, a power of two, minus 1
+	ttl          Time          // TTL of absent keys, and upper bound of the time until the origin applies a write
+	servingUntil atomic.Int64  // Time from which lookups find nothing
 	flushes      atomic.Uint64 // number of flushes
-	hits         atomic.Int64  // lookups that found an absent key
-	stored       atomic.Int64  // absent keys that were stored
-	rejectedFull atomic.Int64  // absent keys that were not stored, for want of a slot
+	hits         atomic.Int64  // number of lookups that found an absent key
+	stored       atomic.Int64  // number of absent keys that were stored
+	rejectedFull atomic.Int64  // number of absent keys that were not stored because their bucket was full
 }
 
 // newTable returns a table with a capacity of at least the given number of entries, and of at least 2,048. It serves
-// nothing until it is told to by serveUntil.
+// nothing before the first call of serveUntil.
 func newTable(entries int, ttl Time) *Table {
 	bucketsPerStripe := 1
 	for bucketsPerStripe*stripeCount*bucketSlots < entries {
@@ -51,7 +51,7 @@
 	return s, &s.buckets[hash>>24&t.bucketMask]
 }
 
-// nonZero returns a hash that is told apart from that of a free slot.
+// nonZero returns the hash, or 1 if it is 0, which marks a free slot.
 func nonZero(hash uint64) uint64 { return max(hash, 1) }
 
 // Contains reports whether a key is known to be absent at the origin.
@@ -84,8 +84,8 @@
 	writes  uint32
 }
 
-// BeginFetch notes that a fetch of a key from the origin is about to begin. If the origin reports the key absent, the
-// result goes with that report.
+// BeginFetch must be called before a fetch of a key from the origin. The caller passes the returned token to
+// [Cache.KeyFetchedAbsent] if the origin reports the key absent.
 func (t *Table) BeginFetch(hash uint64) FetchToken {
 	s, b := t.locate(nonZero(hash))
 	s.mutex.Lock()
@@ -94,10 +94,10 @@
 	return token
 }
 
-// recordAbsent stores a key that a fetch found absent at the origin, and reports whether it did; then the key is worth
-// reporting to other proxies. The key is not stored if the table was flushed since the fetch began, if this key or
-// another of its bucket was written since, or if this key was written within the TTL: the origin may apply a write
-// after it was asked.
+// recordAbsent stores a key that a fetch found absent at the origin, and reports whether the key was stored and should be
+// reported to other proxies. The key is not stored if, since the fetch began, the table was flushed or any key of the
+// bucket was written. Nor is it stored if it was written within the TTL, because the origin may apply that write only
+// after it has replied to the fetch.
 func (t *Table) recordAbsent(hash uint64, token FetchToken, now Time) bool {
 	hash = nonZero(hash)
 	s, b := t.locate(hash)
@@ -109,8 +109,8 @@
 	return t.store(b, entry{hash: hash, at: now, unread: true}, now)
 }
 
-// recordPeerAbsent stores a key that another proxy found absent at an instant, and reports whether it did. The key is
-// not stored if the table was flushed at or after that instant, or if the key was written within the TTL.
+// recordPeerAbsent stores a key that another proxy found absent at the given time, and reports whether it was stored. The
+// key is not stored if the table was flushed at or after that time, or if the key was written within the TTL.
 func (t *Table) recordPeerAbsent(hash uint64, at, now Time) bool {
 	hash = nonZero(hash)
 	s, b := t.locate(hash)
@@ -122,8 +122,8 @@
 	return t.store(b, entry{hash: hash, at: at, unread: true}, now)
 }
 
-// RecordWrite records that a key is being written. From now on the key is not served as absent, and it is not stored as
-// absent by a fetch that has already begun, nor by any other within the TTL.
+// RecordWrite records that a key is being written. From then on the key is not served as absent. It is not stored as
+// absent by a fetch that has already begun, nor by a fetch or report within the TTL.
 func (t *Table) RecordWrite(hash uint64, now Time) {
 	hash = nonZero(hash)
 	s, b := t.locate(hash)
@@ -133,9 +133,9 @@
 	s.mutex.Unlock()
 }
 
-// store puts an entry into a slot of a bucket and reports whether it did. It takes the slot of the same key, else a
-// free or expired one, else that of the oldest unread entry. If there is none of these, a write evicts the oldest
-// entry of all and an absent key is rejected. The caller holds the lock of the bucket's stripe.
+// store puts an entry into a slot of a bucket, and reports whether it did. It uses the slot of the same key, otherwise a
+// free or expired slot, otherwise the slot of the oldest unread entry. If there is no such slot, a write evicts the
+// oldest entry and an absent key is rejected. The caller must hold the lock of the bucket's stripe.
 func (t *Table) store(b *bucket, e entry, now Time) bool {
 	slot, oldest, oldestUnread := noSlot, noSlot, noSlot
 	for i := range b.entries {
@@ -147,7 +147,7 @@
 			}
 			e.unread = e.unread && (current.unread || current.written)
 			slot = i
-		case slot != noSlot && b.entries[slot].hash == e.hash: // the key's own slot precedes a free one
+		case slot != noSlot && b.entries[slot].hash == e.hash: // the slot of the same key takes precedence over a free one
 		case current.hash == 0 || now-current.at >= t.ttl:
 			slot = i
 		}
@@ -175,10 +175,10 @@
 	return true
 }
 
-// serveUntil has absent keys served until an instant. An instant that has passed stops it at once.
+// serveUntil sets the time until which absent keys are served. A time in the past stops the serving at once.
 func (t *Table) serveUntil(until Time) { t.servingUntil.Store(int64(until)) }
 
-// flush removes all absent keys. A fetch that has already begun stores none.
+// flush removes all absent keys. Fetches that have already begun store no keys afterwards.
 func (t *Table) flush(now Time) {
 	t.flushes.Add(1)
 	for i := range t.stripes {
--- a/negativecache/time.go
+++ b/negativecache/time.go
@@ -1,6 +1,6 @@
 package negativecache
 
-// Time is an instant on the caller's monotonic clock, or a time span, in units of 0.1 ms.
+// Time is a time on the caller's monotonic clock, or a duration, in units of 0.1 ms.
 type Time int64
 
 // Second is one second in units of [Time].
