--- a/negativecache/fleet.go
+++ b/negativecache/fleet.go
@@ -2,33 +2,37 @@
 
 import "fmt"
 
-// Proxy is the state of a proxy that may write, by the gossip of the fleet.
+// Proxy is the state of a proxy that may write, according to gossip.
 type Proxy struct {
 	Name         string
-	Reachable    bool  // its heartbeats arrive
-	Departed     bool  // its process is known to have ended
-	WriteReports int64 // write reports that its process has sent, by its latest heartbeat
-	Incarnation  int64 // incarnation of its process
+	Reachable    bool  // whether heartbeats of the proxy arrive
+	Departed     bool  // whether the process is known to have ended
+	WriteReports int64 // number of write reports that the process has sent, by its latest heartbeat
+	Incarnation  int64 // incarnation of the process
 }
 
-// fleetReview is the result of comparing what the proxies announced with the write reports that arrived.
+// fleetReview is the result of a comparison of the announced write reports with those that arrived.
 type fleetReview struct {
-	now            Time
-	grace          Time // how long announced reports may be outstanding
-	applyTime      Time // how long the origin may still apply a write after it was accepted
-	complete       bool // every running proxy is reachable, and its reports arrived or are not late yet
-	awaitedProxies int  // proxies with outstanding reports
-	flushReason    string
-	holdUntil      Time // until when lost writes may be applied, as far as that is known; 0: it is not
+	now       Time
+	grace     Time // maximum time for which announced reports may be outstanding
+	applyTime Time // maximum time from the acceptance of a write until the origin applies it
+
+	// complete is false if a running proxy is unreachable, if reports from a time when it was unreachable are outstanding,
+	// or if its latest heartbeat is from an earlier process.
+	complete bool
+
+	awaitedProxies int    // number of proxies with outstanding reports
+	flushReason    string // reason to flush the table, empty if there is none
+	holdUntil      Time   // time until which the origin may apply writes whose reports were lost, 0 if it is unknown
 }
 
-// proxy adds a proxy other than this one to the review. Of several reasons for a flush, the last one stands.
+// proxy adds a proxy other than this one to the review. If there are several reasons for a flush, the last one is kept.
 func (r *fleetReview) proxy(w *writer, p *Proxy) {
 	if p.Departed {
 		r.departed(w, p)
 		return
 	}
-	if p.Incarnation < w.incarnation { // the heartbeat is of an earlier process than a report that already arrived
+	if p.Incarnation < w.incarnation { // the heartbeat is from an earlier process than a report that already arrived
 		r.complete = false
 		return
 	}
@@ -51,8 +55,8 @@
 	r.outstanding(w, p)
 }
 
-// departed handles a proxy whose process has ended: its last reports may not have arrived, and the origin may still
-// apply its last writes.
+// departed adds a proxy whose process has ended. The table is flushed once, because the last reports of the process may
+// not have arrived and the origin may still apply its last writes.
 func (r *fleetReview) departed(w *writer, p *Proxy) {
 	if !w.departed {
 		w.departed = true
@@ -60,16 +64,16 @@
 	}
 }
 
-// outstanding handles a proxy whose announced reports did not all arrive.
+// outstanding adds a proxy with announced reports that have not arrived. After the grace period they count as lost.
 func (r *fleetReview) outstanding(w *writer, p *Proxy) {
 	r.awaitedProxies++
 	r.complete = r.complete && !w.unreachable
 	switch {
 	case w.outstandingSince == 0:
-		w.outstandingSince = max(r.now, 1) // 0 means that none is outstanding
+		w.outstandingSince = max(r.now, 1) // 0 means that no report is outstanding
 	case r.now-w.outstandingSince >= r.grace:
 		r.flushReason = fmt.Sprintf("%d write reports of proxy %s were lost", w.outstanding(), p.Name)
-		r.holdUntil = max(r.holdUntil, w.outstandingSince+r.applyTime) // they were sent before that instant
+		r.holdUntil = max(r.holdUntil, w.outstandingSince+r.applyTime) // the lost reports were sent before outstandingSince
 		w.giveUp()
 	}
 }
--- a/negativecache/hold.go
+++ b/negativecache/hold.go
@@ -1,19 +1,19 @@
 package negativecache
 
-// flushHold is the time after a flush in which the origin may still apply writes that were not reported. Absent keys
-// are not served, and the table is flushed once more at the end.
+// flushHold is the time after a flush in which the origin may still apply writes whose reports may have been lost.
+// During the hold no absent keys are served, and at its end the table is flushed again.
 type flushHold struct {
 	active bool
-	until  Time
+	until  Time // end of the hold
 }
 
-// extend starts the hold, or has it last until an instant if that is later.
+// extend starts the hold, or extends it to the given time if that is later than its end.
 func (h *flushHold) extend(until Time) {
 	h.until = max(h.until, until)
 	h.active = true
 }
 
-// expire ends the hold if its time has come, and reports whether it did.
+// expire ends the hold if it is over, and reports whether it did.
 func (h *flushHold) expire(now Time) bool {
 	if !h.active || now < h.until {
 		return false
--- a/negativecache/writer.go
+++ b/negativecache/writer.go
@@ -1,29 +1,29 @@
 package negativecache
 
-// maxOutOfOrder is how many write reports of a proxy are remembered at most while an earlier one is outstanding. Beyond
-// that they count as lost.
+// maxOutOfOrder is the maximum number of a proxy's write reports that are recorded while an earlier report is
+// outstanding. Further reports count as lost.
 const maxOutOfOrder = 4 * reportSlots
 
-// writer is what this proxy knows of another one's write reports.
+// writer is the state of the write reports of another proxy.
 type writer struct {
-	incarnation      int64
-	received         int64          // all reports up to this sequence number arrived, or were given up
-	outOfOrder       map[int64]bool // sequence numbers beyond that which arrived
-	announced        int64          // number of reports sent, by the proxy's heartbeats
-	outstandingSince Time           // since when announced reports have been outstanding; 0: none is
-	departed         bool           // its process is known to have ended
-	unreachable      bool           // it was unreachable, and reports that it sent meanwhile may be outstanding
-	discovered       bool           // a heartbeat of this incarnation arrived
+	incarnation      int64          // latest known incarnation of the proxy's process
+	received         int64          // sequence number up to which all reports have arrived or count as lost
+	outOfOrder       map[int64]bool // higher sequence numbers of reports that have arrived
+	announced        int64          // number of sent reports, by the proxy's heartbeats
+	outstandingSince Time           // time since which announced reports are outstanding, 0 if none is
+	departed         bool           // whether the process is known to have ended
+	unreachable      bool           // whether the proxy was unreachable and may have outstanding reports from that time
+	discovered       bool           // whether a heartbeat of this incarnation arrived
 }
 
 func newWriter(incarnation int64) *writer {
 	return &writer{incarnation: incarnation, outOfOrder: map[int64]bool{}}
 }
 
-// restart forgets what is known of the proxy's earlier processes. The next heartbeat discovers the proxy anew.
+// restart resets the state for a new incarnation of the proxy. The next heartbeat discovers the proxy again.
 func (w *writer) restart(incarnation int64) { *w = *newWriter(incarnation) }
 
-// receive notes that a report of the current incarnation arrived.
+// receive records the arrival of a report of the current incarnation.
 func (w *writer) receive(sequence int64) {
 	if sequence > w.received && len(w.outOfOrder) < maxOutOfOrder {
 		w.outOfOrder[sequence] = true
@@ -34,8 +34,8 @@
 	}
 }
 
-// announce notes how many reports the proxy has sent. Those that it sent before it was discovered do not matter: the
-// table is flushed on discovery. It reports whether the proxy is discovered by that.
+// announce records the number of reports that the proxy has sent, and reports whether the proxy is thereby discovered.
+// Reports sent before the discovery do not count as outstanding, since the table is flushed on discovery.
 func (w *writer) announce(sent int64) bool {
 	w.announced = max(w.announced, sent)
 	if w.discovered {
@@ -46,19 +46,20 @@
 	return true
 }
 
-// outstanding returns how many announced reports did not arrive; it may be negative, as reports precede heartbeats.
+// outstanding returns the number of announced reports that have not arrived. It may be negative, because a report is sent
+// before the heartbeat that announces it.
 func (w *writer) outstanding() int64 { return w.announced - w.received }
 
-// giveUp no longer waits for the outstanding reports.
+// giveUp marks the outstanding reports as lost.
 func (w *writer) giveUp() {
 	w.received, w.outstandingSince, w.unreachable = w.announced, 0, false
 	clear(w.outOfOrder)
 }
 
-// writerSet is the writers by the names of the proxies.
+// writerSet contains the writers by proxy name.
 type writerSet map[string]*writer
 
-// get returns the writer of a proxy, which it adds if it is new.
+// get returns the writer of the named proxy. It adds one if there is none.
 func (s writerSet) get(name string) *writer {
 	w := s[name]
 	if w == nil {
@@ -68,7 +69,7 @@
 	return w
 }
 
-// retain removes the writers that are not among the proxies.
+// retain removes the writers whose proxies are not listed.
 func (s writerSet) retain(proxies []Proxy) {
 	listed := make(map[string]bool, len(proxies))
 	for i := range proxies {
