--- a/negativecache/cache.go
+++ b/negativecache/cache.go
@@ -3,31 +3,32 @@
 import "fmt"
 
 const (
-	servingLease   = Second / 2 // how long a fleet update lets absent keys be served; updates come several times a second
-	maxTransitTime = Second / 2 // how long a report is in transit between proxies at most; its age does not count that
-	catchUpTime    = Second     // in which a process that was paused reads the reports that queued up meanwhile
+	servingLease   = Second / 2 // serving time after a fleet update; updates come several times a second
+	maxTransitTime = Second / 2 // maximum transit time of a report between proxies, which is not part of the report's age
+	catchUpTime    = Second     // time in which a process that was paused reads the reports queued during the pause
 )
 
-// Cache is the negative cache of one proxy. Its methods report events, at instants of the caller's clock; time does
-// not go back. They return the decisions that follow, in the order in which they have to be carried out, in a slice
-// that the next call reuses. One goroutine at a time may call them. Only the Table may be used from others.
+// Cache is the negative cache of one proxy. Each of its methods reports an event at a time of the caller's monotonic
+// clock, and returns the resulting decisions in the order in which they must be executed, in a slice that the next call
+// reuses. Calls must not be concurrent. Only the Table may be used from any goroutine.
 type Cache struct {
-	Table *Table // answers lookups and records writes
+	Table *Table // serves lookups and records writes
 
 	settings Settings
 	now      Time
 	stats    Stats
 	outbox   outbox
 	growth   *growthLimiter
-	writers  writerSet // the other proxies that may write
+	writers  writerSet // other proxies that may write
 	hold     flushHold
 
-	catchingUp        bool // by the latest fleet update
-	ignoreAbsentUntil Time // other proxies' reports of absent keys are rejected until then: their age is unknown
-	decisions         []Decision
+	catchingUp        bool       // whether this proxy is catching up, by the latest fleet update
+	ignoreAbsentUntil Time       // until then, reports of absent keys are rejected because their age is unknown
+	decisions         []Decision // decisions of the current call
 }
 
-// New returns a cache that serves no absent keys before the first fleet update. The settings have to be valid.
+// New returns a cache that serves no absent keys before the first fleet update. The settings must pass their Check
+// method.
 func New(now Time, settings Settings) *Cache {
 	return &Cache{
 		Table:    newTable(settings.Entries, settings.TTL),
@@ -39,7 +40,7 @@
 	}
 }
 
-// begin starts the handling of an event.
+// begin starts the handling of an event and discards the decisions of the previous one.
 func (c *Cache) begin(now Time) {
 	c.now = max(now, c.now)
 	c.decisions = c.decisions[:0]
@@ -49,7 +50,7 @@
 	c.decisions = append(c.decisions, Decision{Action: ActionLog, Text: fmt.Sprintf(format, args...)})
 }
 
-// WriteAccepted reports that this proxy has accepted a write. The caller has already recorded it in the table.
+// WriteAccepted handles a write that this proxy has accepted. The caller must have recorded it in the table.
 func (c *Cache) WriteAccepted(now Time, hash uint64) []Decision {
 	c.begin(now)
 	if c.outbox.addWritten(hash) {
@@ -58,16 +59,16 @@
 	return c.decisions
 }
 
-// WriteReportLost reports that an accepted write could not be passed on to this cache. It counts as a write report that
-// was sent and lost, so that the other proxies flush their tables.
+// WriteReportLost handles an accepted write that could not be passed to WriteAccepted. The write counts as a write report
+// that was sent and lost, so that the other proxies flush their tables.
 func (c *Cache) WriteReportLost() { c.outbox.writeSequence++ }
 
-// WriteReportsSent returns how many write reports this proxy has sent, for its heartbeat. A report has to be
-// sent before a heartbeat that counts it.
+// WriteReportsSent returns the number of write reports that this proxy has sent, to be announced in its heartbeat. A
+// report must be sent before a heartbeat that counts it.
 func (c *Cache) WriteReportsSent() int64 { return c.outbox.writeSequence }
 
-// KeyFetchedAbsent reports that the origin has no such key, by a fetch that began with the given token on behalf of
-// a tenant, by its index. An index that is out of range, such as -1, is that of no tenant.
+// KeyFetchedAbsent handles a fetch that found a key absent at the origin. The token is that of the fetch, and the tenant
+// is the index of the tenant that requested the key. An index out of range, such as -1, means that there is no tenant.
 func (c *Cache) KeyFetchedAbsent(now Time, hash uint64, token FetchToken, tenant int) []Decision {
 	c.begin(now)
 	bucket := c.growth.bucket(c.now, tenant)
@@ -82,8 +83,8 @@
 	return c.decisions
 }
 
-// ReceiveWriteReport handles a report of written keys from another proxy, by its name and the incarnation of its
-// process. A report that is malformed is counted and ignored.
+// ReceiveWriteReport handles a report of written keys from another proxy, which is identified by its name and the
+// incarnation of its process. A malformed report is counted and ignored.
 func (c *Cache) ReceiveWriteReport(now Time, from string, incarnation int64, report KeyReport) []Decision {
 	c.begin(now)
 	if report.Sequence < 1 || len(report.Hashes) > maxReportKeys || from == c.settings.ProxyName {
@@ -94,7 +95,7 @@
 		c.Table.RecordWrite(hash, c.now)
 	}
 	w := c.writers.get(from)
-	if incarnation < w.incarnation { // its keys are recorded, and the sequence of that process no longer matters
+	if incarnation < w.incarnation { // the sequence numbers of an earlier process no longer matter, only its keys do
 		return c.decisions
 	}
 	if incarnation > w.incarnation {
@@ -104,16 +105,15 @@
 	return c.decisions
 }
 
-// ReceiveAbsentReport handles a report of absent keys from another proxy, by its name. The age is how long ago the
-// report was sent, not counting its time in transit. A report that is malformed, or whose age can't be known, is counted
-// and ignored.
+// ReceiveAbsentReport handles a report of absent keys from the named proxy. The age is the time since the report was
+// sent, without its transit time. A report that is malformed, or whose age is unknown, is counted and ignored.
 func (c *Cache) ReceiveAbsentReport(now Time, from string, report KeyReport, age Time) []Decision {
 	c.begin(now)
 	if len(report.Hashes) > maxReportKeys || age < 0 || from == c.settings.ProxyName || c.now < c.ignoreAbsentUntil {
 		c.stats.RejectedFromPeers++
 		return c.decisions
 	}
-	// the earliest instant of the observation: it waited for its batch, and the age does not count the transit
+	// the earliest time of the observation, since the age includes neither the wait for the batch nor the transit
 	observedAt := c.now - age - batchInterval - maxTransitTime
 	for _, hash := range report.Hashes {
 		if c.Table.recordPeerAbsent(hash, observedAt, c.now) {
@@ -125,19 +125,20 @@
 	return c.decisions
 }
 
-// UpdateFleet reports the state of all proxies that may write, of which the operators configured so many, and whether
-// this proxy is still catching up with them. It is to be called several times a second: absent keys are served only for
-// half a second after a call, while
-//   - as many proxies as configured are known, and each that has not departed is reachable,
-//   - each write report that they announced arrived, or has not been outstanding for longer than the configured grace,
-//   - and no write that was not reported may still be applied at the origin.
+// UpdateFleet updates the state of all proxies that may write, the number of them that is configured, and whether this
+// proxy is still catching up with them. It must be called several times a second: absent keys are served for half a
+// second after a call, and only if
+//   - this proxy is not catching up,
+//   - at least the configured number of proxies is known, and each of them is reachable or departed,
+//   - every announced write report has arrived, or has been outstanding for less than the configured grace period,
+//   - and the origin can no longer apply a write whose report may have been lost.
 //
 // When write reports may have been lost, the table is flushed.
 func (c *Cache) UpdateFleet(now Time, proxies []Proxy, configured int, catchingUp bool) []Decision {
 	c.begin(now)
 	review := c.reviewFleet(proxies)
 	c.stats.AwaitedProxies = review.awaitedProxies
-	if catchingUp && !c.catchingUp { // reports queued up meanwhile, and their ages are unknown
+	if catchingUp && !c.catchingUp { // reports were queued during the pause, and their ages are unknown
 		review.flushReason = "this proxy was paused or started"
 		c.ignoreAbsentUntil = c.now + catchUpTime
 	}
@@ -156,7 +157,7 @@
 	return c.decisions
 }
 
-// reviewFleet compares the write reports that all other proxies announced with those that arrived.
+// reviewFleet compares the write reports that the other proxies announced with those that arrived.
 func (c *Cache) reviewFleet(proxies []Proxy) fleetReview {
 	review := fleetReview{now: c.now, grace: c.settings.ReportGrace, applyTime: c.applyTime(), complete: true}
 	for i := range proxies {
@@ -168,11 +169,11 @@
 	return review
 }
 
-// applyTime is how long the origin may still apply a write after it was accepted: half the TTL, as the TTL is at least
-// twice the longest request timeout.
+// applyTime returns the maximum time from the acceptance of a write until the origin applies it. It is half the TTL,
+// because the TTL is at least twice the longest request timeout.
 func (c *Cache) applyTime() Time { return c.settings.TTL / 2 }
 
-// serve has absent keys served until the next fleet update is overdue, or not at all.
+// serve starts or stops the serving of absent keys. Without a further call, serving ends after servingLease.
 func (c *Cache) serve(serving bool, proxies int) {
 	if serving != c.stats.Serving {
 		c.stats.Serving = serving
@@ -186,8 +187,8 @@
 	}
 }
 
-// flushTable removes all absent keys, as it is not known which were written since. The reason is logged at the first
-// flush, the second, the fourth and so on, since flushes may come in numbers.
+// flushTable removes all absent keys, because any of them may have been written since it was stored. As there may be
+// many flushes, the reason is only logged for the first, the second, the fourth and so on.
 func (c *Cache) flushTable(reason string) {
 	c.Table.flush(c.now)
 	c.outbox.dropAbsent()
@@ -199,14 +200,14 @@
 
 func isPowerOfTwo(n int64) bool { return n&(n-1) == 0 }
 
-// Flush flushes the table at an operator's request.
+// Flush flushes the table at the request of an operator.
 func (c *Cache) Flush(now Time) []Decision {
 	c.begin(now)
 	c.flushTable("requested by an operator")
 	return c.decisions
 }
 
-// Tick sends reports that are due. It is to be called some twenty times a second.
+// Tick sends the reports that are due. It must be called about twenty times a second.
 func (c *Cache) Tick(now Time) []Decision {
 	c.begin(now)
 	if c.outbox.due(c.now) {
@@ -217,7 +218,7 @@
 
 func (c *Cache) sendReports() { c.decisions = c.outbox.appendReports(c.now, c.decisions) }
 
-// Stats returns the statistics up to now.
+// Stats returns the current statistics.
 func (c *Cache) Stats() Stats {
 	stats := c.stats
 	stats.Hits = c.Table.hits.Load()
--- a/negativecache/decision.go
+++ b/negativecache/decision.go
@@ -1,7 +1,7 @@
 package negativecache
 
-// Action is what a [Decision] asks the caller to do. The caller derives the kind of a stored report from it, so the
-// values must not change.
+// Action is the kind of a [Decision]. The values must not change, since the caller derives the kind of a stored report
+// from them.
 type Action uint8
 
 // The actions.
@@ -11,10 +11,10 @@
 	ActionLog                         // log the text
 )
 
-// Decision is one action for the caller to carry out.
+// Decision is one instruction to the caller. Which fields are set depends on the action.
 type Decision struct {
 	Action Action
-	Slot   int       // where the other proxies store the report, 0 to 63; a later report in the same slot replaces it
-	Report KeyReport // to send
-	Text   string    // to log
+	Slot   int       // slot in which the other proxies store the report, 0 to 63; a later report in the slot replaces it
+	Report KeyReport // report to send
+	Text   string    // text to log
 }
--- a/negativecache/growth.go
+++ b/negativecache/growth.go
@@ -1,13 +1,13 @@
 package negativecache
 
-// growthLimiter limits how many absent keys a proxy adds a second, by a token bucket for each tenant, so that no tenant
-// takes more than its part. Requests that belong to no tenant share a bucket of their own.
+// growthLimiter limits the rate at which a proxy adds absent keys, with a token bucket for each tenant, so that no tenant
+// uses more than its fraction. Requests without a tenant share a separate bucket.
 type growthLimiter struct {
-	rate    float64       // tokens a second, and capacity, of each bucket
-	buckets []tokenBucket // the first is that of requests without a tenant
+	rate    float64       // rate of each bucket in tokens per second, and capacity in tokens
+	buckets []tokenBucket // bucket of requests without a tenant, followed by those of the tenants
 }
 
-// tokenBucket holds the absent keys that a tenant may still add.
+// tokenBucket limits the rate of one tenant. A token is the permission to add one absent key.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt Time
@@ -24,7 +24,8 @@
 	return l
 }
 
-// bucket returns the bucket of a tenant, refilled. A tenant that is out of range has that of requests without one.
+// bucket refills and returns the bucket of a tenant. For an index out of range, it is the bucket of requests without a
+// tenant.
 func (l *growthLimiter) bucket(now Time, tenant int) *tokenBucket {
 	b := &l.buckets[0]
 	if tenant >= 0 && tenant < len(l.buckets)-1 {
@@ -35,8 +36,8 @@
 	return b
 }
 
-// empty reports whether nothing may be taken now.
+// empty reports whether the bucket holds no complete token.
 func (b *tokenBucket) empty() bool { return b.tokens < 1 }
 
-// take takes a token.
+// take removes a token.
 func (b *tokenBucket) take() { b.tokens-- }
--- a/negativecache/settings.go
+++ b/negativecache/settings.go
@@ -6,20 +6,21 @@
 	"woodproxy/internal/configfile"
 )
 
-// maxEntries is the highest configurable number of entries. So many take 113 MB.
+// maxEntries is the maximum number of entries. A table of this size takes 113 MB.
 const maxEntries = 1 << 22
 
-// Settings is the configuration of one proxy's cache. The Check method enforces the ranges.
+// Settings is the configuration of one proxy's cache. The Check method enforces the ranges of Entries, TTL, ReportGrace
+// and MaxNewKeysPerSecond.
 type Settings struct {
 	ProxyName   string // name of this proxy
 	Entries     int    // minimum capacity of the table, 1 to 4,194,304
 	TTL         Time   // TTL of an absent key, 0.5 s to 600 s, and at least twice the longest request timeout
-	ReportGrace Time   // how long an announced write report may be outstanding until it counts as lost, 0.1 s to 60 s
+	ReportGrace Time   // time after which an outstanding write report counts as lost, 0.1 s to 60 s
 
-	// How many absent keys this proxy may add a second, 1 to 1,000,000. This limits the effect of an origin that reports
-	// all keys absent for a moment.
+	// MaxNewKeysPerSecond is the maximum rate at which this proxy adds absent keys, 1 to 1,000,000. It limits the effect of
+	// an origin that reports all keys absent for a moment.
 	MaxNewKeysPerSecond int
-	TenantCount         int // number of tenants that share that growth evenly, so that none takes it all; 0: there are none
+	TenantCount         int // number of tenants that share the rate evenly, so that none uses all of it; 0: no tenants
 }
 
 // Check returns a *[RangeError] for the first value that is out of its range. Errors name the keys of the
@@ -36,13 +37,13 @@
 // RangeError reports a configured value that is out of its range.
 type RangeError = configfile.RangeError
 
-// NoPeersError reports that several proxies may write, but that this one would not receive their reports of writes.
+// NoPeersError reports that several proxies may write, but that this one, without gossip, receives no write reports.
 type NoPeersError struct {
 	File    string // configuration file of the cache
 	Proxies int    // number of proxies that may write
 }
 
-// Error implements the error interface. Operators see the text.
+// Error names the file and says how to configure peers. Operators see the text.
 func (e *NoPeersError) Error() string {
 	return fmt.Sprintf("%s: %d proxies may write, and they do not talk; "+
 		"name a file of peers as well (--peers FILE), or leave the file of missing keys out", e.File, e.Proxies)
