--- a/negativecache/cache.go
+++ b/negativecache/cache.go
@@ -146,35 +146,35 @@
 	if review.flushReason != "" {
 		c.flushTable(review.flushReason)
 		if review.holdUntil == 0 {
-			review.holdUntil = c.now + c.applyTime()
+			review.holdUntil = c.now + c.maxApplyTime()
 		}
 		c.hold.extend(review.holdUntil)
 	}
 	if c.hold.expire(c.now) {
 		c.Table.flush(c.now)
 	}
-	c.serve(review.complete && !catchingUp && len(proxies) >= configured && !c.hold.active, len(proxies))
+	c.setServing(review.complete && !catchingUp && len(proxies) >= configured && !c.hold.active, len(proxies))
 	return c.decisions
 }
 
 // reviewFleet compares the write reports that the other proxies announced with those that arrived.
 func (c *Cache) reviewFleet(proxies []Proxy) fleetReview {
-	review := fleetReview{now: c.now, grace: c.settings.ReportGrace, applyTime: c.applyTime(), complete: true}
+	review := fleetReview{now: c.now, grace: c.settings.ReportGrace, maxApplyTime: c.maxApplyTime(), complete: true}
 	for i := range proxies {
 		if p := &proxies[i]; p.Name != c.settings.ProxyName {
-			review.proxy(c.writers.get(p.Name), p)
+			review.addProxy(c.writers.get(p.Name), p)
 		}
 	}
 	c.writers.retain(proxies)
 	return review
 }
 
-// applyTime returns the maximum time from the acceptance of a write until the origin applies it. It is half the TTL,
+// maxApplyTime returns the maximum time from the acceptance of a write until the origin applies it. It is half the TTL,
 // because the TTL is at least twice the longest request timeout.
-func (c *Cache) applyTime() Time { return c.settings.TTL / 2 }
+func (c *Cache) maxApplyTime() Time { return c.settings.TTL / 2 }
 
-// serve starts or stops the serving of absent keys. Without a further call, serving ends after servingLease.
-func (c *Cache) serve(serving bool, proxies int) {
+// setServing starts or stops the serving of absent keys. Without a further call, serving ends after servingLease.
+func (c *Cache) setServing(serving bool, proxies int) {
 	if serving != c.stats.Serving {
 		c.stats.Serving = serving
 		c.logf("serving absent keys: %v, with %d proxies, %d of them with outstanding write reports",
--- a/negativecache/fleet.go
+++ b/negativecache/fleet.go
@@ -13,9 +13,9 @@
 
 // fleetReview is the result of a comparison of the announced write reports with those that arrived.
 type fleetReview struct {
-	now       Time
-	grace     Time // maximum time for which announced reports may be outstanding
-	applyTime Time // maximum time from the acceptance of a write until the origin applies it
+	now          Time
+	grace        Time // maximum time for which announced reports may be outstanding
+	maxApplyTime Time // maximum time from the acceptance of a write until the origin applies it
 
 	// complete is false if a running proxy is unreachable, if reports from a time when it was unreachable are outstanding,
 	// or if its latest heartbeat is from an earlier process.
@@ -26,10 +26,11 @@
 	holdUntil      Time   // time until which the origin may apply writes whose reports were lost, 0 if it is unknown
 }
 
-// proxy adds a proxy other than this one to the review. If there are several reasons for a flush, the last one is kept.
-func (r *fleetReview) proxy(w *writer, p *Proxy) {
+// addProxy adds a proxy other than this one to the review. If there are several reasons for a flush, the last one is
+// kept.
+func (r *fleetReview) addProxy(w *writer, p *Proxy) {
 	if p.Departed {
-		r.departed(w, p)
+		r.addDeparted(w, p)
 		return
 	}
 	if p.Incarnation < w.incarnation { // the heartbeat is from an earlier process than a report that already arrived
@@ -52,20 +53,20 @@
 		w.unreachable = w.unreachable && !p.Reachable
 		return
 	}
-	r.outstanding(w, p)
+	r.addOutstanding(w, p)
 }
 
-// departed adds a proxy whose process has ended. The table is flushed once, because the last reports of the process may
+// addDeparted adds a proxy whose process has ended. The table is flushed once, because the last reports of the process may
 // not have arrived and the origin may still apply its last writes.
-func (r *fleetReview) departed(w *writer, p *Proxy) {
+func (r *fleetReview) addDeparted(w *writer, p *Proxy) {
 	if !w.departed {
 		w.departed = true
 		r.flushReason = fmt.Sprintf("proxy %s departed", p.Name)
 	}
 }
 
-// outstanding adds a proxy with announced reports that have not arrived. After the grace period they count as lost.
-func (r *fleetReview) outstanding(w *writer, p *Proxy) {
+// addOutstanding adds a proxy with announced reports that have not arrived. After the grace period they count as lost.
+func (r *fleetReview) addOutstanding(w *writer, p *Proxy) {
 	r.awaitedProxies++
 	r.complete = r.complete && !w.unreachable
 	switch {
@@ -73,7 +74,7 @@
 		w.outstandingSince = max(r.now, 1) // 0 means that no report is outstanding
 	case r.now-w.outstandingSince >= r.grace:
 		r.flushReason = fmt.Sprintf("%d write reports of proxy %s were lost", w.outstanding(), p.Name)
-		r.holdUntil = max(r.holdUntil, w.outstandingSince+r.applyTime) // the lost reports were sent before outstandingSince
+		r.holdUntil = max(r.holdUntil, w.outstandingSince+r.maxApplyTime) // the lost reports were sent before outstandingSince
 		w.giveUp()
 	}
 }
--- a/negativecache/fleet_test.go
+++ b/negativecache/fleet_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The cases are one after the other on the same cache.
+// The cases run in sequence on the same cache.
 func TestAbsentKeysAreServedOnlyWhileTheFleetIsComplete(t *testing.T) {
 	cache := New(0, Settings{
 		ProxyName: "n1", Entries: 2048, TTL: 100 * Second, ReportGrace: Second, MaxNewKeysPerSecond: 50,
@@ -24,17 +24,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			now += 3 * Second
 			cache.UpdateFleet(now, c.proxies, 2, c.catchingUp)
-			now += cache.applyTime() + Second // now the origin has applied the last writes of a departed proxy
+			now += cache.maxApplyTime() + Second // by then the origin has applied the last writes of a departed proxy
 			cache.UpdateFleet(now, c.proxies, 2, c.catchingUp)
 			if got := cache.Stats().Serving; got != c.serving {
-				t.Errorf("serving: %v, want %v", got, c.serving)
+				t.Errorf("got Serving %v, want %v", got, c.serving)
 			}
 		})
 	}
 }
 
-// The first report of a restarted proxy may arrive before its first heartbeat. Reports of its earlier process must not
-// count as reports of the new one, and reports of the new one that are lost must be noticed.
+// When the first report of a restarted proxy arrives before its first heartbeat, the count announced by the earlier
+// process must not apply to the new one, and lost reports of the new process must be detected.
 func TestRestartedProxyIsCountedAnew(t *testing.T) {
 	cache := New(0, Settings{
 		ProxyName: "n1", Entries: 2048, TTL: 10 * Second, ReportGrace: Second, MaxNewKeysPerSecond: 50,
@@ -49,19 +49,19 @@
 	cache.ReceiveWriteReport(2*Second, "n2", 2, KeyReport{Sequence: 1, Hashes: []uint64{7}})
 	updateFleet(2*Second, 500, 1)
 	if cache.Stats().Serving {
-		t.Error("absent keys are served by the heartbeat of an earlier process")
+		t.Error("got absent keys served with the heartbeat of an earlier process")
 	}
 	flushes := cache.Stats().Flushes
 	updateFleet(3*Second, 3, 2)
 	if stats := cache.Stats(); stats.Flushes == flushes || stats.Serving {
-		t.Errorf("two reports are outstanding, and the table is not flushed: %+v", stats)
+		t.Errorf("two reports outstanding: got %+v, want a flush and no serving", stats)
 	}
 	updateFleet(9*Second, 3, 2)
 	if !cache.Stats().Serving {
-		t.Error("absent keys are not served after the flush")
+		t.Error("got no absent keys served after the flush")
 	}
 	updateFleet(10*Second, 4, 2)
 	if stats := cache.Stats(); stats.AwaitedProxies != 1 {
-		t.Errorf("one more report is outstanding: %+v", stats)
+		t.Errorf("one more report outstanding: got %+v, want 1 awaited proxy", stats)
 	}
 }
