--- a/negativecache/growth_test.go
+++ b/negativecache/growth_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An origin that reports every key absent for a moment fills the table no faster than configured, and one flush empties
-// it.
+// When the origin reports every key absent for a moment, the table grows no faster than configured, and one flush
+// removes all absent keys.
 func TestGrowthIsLimitedAndUndoneByFlush(t *testing.T) {
 	const keys, keysPerSecond = 4000, 50
 	cache := New(0, Settings{
@@ -11,12 +11,12 @@
 	})
 	fleet := []Proxy{{Name: "n1", Reachable: true}}
 	cache.UpdateFleet(0, fleet, 1, false)
-	for i := range keys { // in two seconds
+	for i := range keys { // within two seconds
 		cache.KeyFetchedAbsent(Time(i)*5, hashOf(i), cache.Table.BeginFetch(hashOf(i)), -1)
 	}
 	stats := cache.Stats()
 	if stats.Stored > keysPerSecond+2*keysPerSecond+1 || stats.Stored < 2*keysPerSecond || stats.GrowthLimited == 0 {
-		t.Errorf("growth is not limited as configured: %+v", stats)
+		t.Errorf("got %+v, want growth limited as configured", stats)
 	}
 	cache.UpdateFleet(2*Second, fleet, 1, false)
 	served := func() (count int) {
@@ -28,11 +28,11 @@
 		return count
 	}
 	if got := served(); got < 2*keysPerSecond {
-		t.Errorf("%d keys are served, want %d", got, 2*keysPerSecond)
+		t.Errorf("got %d keys served, want at least %d", got, 2*keysPerSecond)
 	}
 	cache.Flush(2 * Second)
 	if got := served(); got != 0 {
-		t.Errorf("%d keys are served after a flush", got)
+		t.Errorf("got %d keys served after a flush, want 0", got)
 	}
 }
 
@@ -56,7 +56,7 @@
 				cache.KeyFetchedAbsent(Second, hashOf(key), cache.Table.BeginFetch(hashOf(key)), c.tenant)
 			}
 			if got := cache.Stats().Stored - before; got != c.stored {
-				t.Errorf("%d keys stored, want %d", got, c.stored)
+				t.Errorf("got %d keys stored, want %d", got, c.stored)
 			}
 		})
 	}
--- a/negativecache/report_test.go
+++ b/negativecache/report_test.go
@@ -6,7 +6,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// FuzzReceivedReport has a cache handle a report of any bytes that can be decoded.
+// FuzzReceivedReport checks that a cache handles every report that can be decoded without a panic.
 func FuzzReceivedReport(f *testing.F) {
 	valid, err := msgpack.Marshal(&KeyReport{Sequence: 3, Hashes: []uint64{1, 2}})
 	if err != nil {
--- a/negativecache/settings_test.go
+++ b/negativecache/settings_test.go
@@ -10,7 +10,7 @@
 	for _, c := range []struct {
 		name   string
 		change func(settings *Settings)
-		key    string // of the error; "": none is expected
+		key    string // key in the expected error, empty if no error is expected
 	}{
 		{"valid", func(*Settings) {}, ""},
 		{"no entries", func(settings *Settings) { settings.Entries = 0 }, "entries"},
@@ -30,7 +30,7 @@
 			}
 			var rangeError *RangeError
 			if !errors.As(err, &rangeError) || rangeError.Key != c.key {
-				t.Errorf("got %v, want a range error of %s", err, c.key)
+				t.Errorf("got error %v, want a range error for %s", err, c.key)
 			}
 		})
 	}
--- a/negativecache/simulation_test.go
+++ b/negativecache/simulation_test.go
@@ -10,24 +10,24 @@
 	simulationStep      = Second / 20
 	heartbeatSteps      = 20             // steps between two heartbeats of a proxy
 	fleetUpdateSteps    = 4              // steps between two fleet updates of a proxy
-	reachabilityTimeout = 7 * Second / 2 // after a proxy's last heartbeat
+	reachabilityTimeout = 7 * Second / 2 // time from a proxy's last heartbeat until it counts as unreachable
 	reportGrace         = 2 * Second
 	simulatedProxies    = 6
 	simulatedKeys       = 400
 )
 
-// defect is a fault planted into the simulated proxies, to show that the simulation notices it.
+// defect is a bug that is deliberately built into the simulated proxies to check that the simulation detects it.
 type defect int
 
 const (
 	noDefect                  defect = iota
 	writesNotReported                // writes are not reported to other proxies
 	unreachableCountReachable        // every proxy counts as reachable
-	heartbeatsWithoutCount           // heartbeats do not announce the write reports that were sent
+	heartbeatsWithoutCount           // heartbeats do not announce the number of sent write reports
 )
 
-// fleetSimulation simulates proxies with a common origin. Their messages are delayed, lost and cut off, and proxies
-// pause.
+// fleetSimulation simulates proxies with a common origin. It delays and loses messages, partitions the network and
+// pauses proxies.
 type fleetSimulation struct {
 	defect  defect
 	random  *rand.Rand
@@ -35,13 +35,13 @@
 	proxies []*simulatedProxy
 	events  map[Time][]func()
 
-	lossRate float64
-	isCutOff func(a, b int) bool // whether two proxies can't reach each other; nil: all can
+	lossRate    float64
+	partitioned func(a, b int) bool // whether the link between two proxies is cut; nil: no link is
 
-	writtenAt    map[int]Time // the keys that the origin has, and since when
-	maxStaleness Time         // the longest time after its write at which a key was served as absent
+	writtenAt    map[int]Time // keys that are present at the origin, with the time at which each was written
+	maxStaleness Time         // longest time after its write at which a key was served as absent
 	fetches      int
-	hits         int // lookups that were answered as absent
+	hits         int // lookups that found an absent key
 }
 
 // simulatedProxy is a proxy of a fleetSimulation.
@@ -49,29 +49,29 @@
 	cache       *Cache
 	incarnation int64
 	paused      bool
-	pausedUntil Time // the latest step in which it was paused; 0: it never was
-	inbox       []func()
+	pausedUntil Time     // time of the latest step in which the proxy was paused, 0 if it never was
+	inbox       []func() // messages that arrived during a pause
 	published   map[publicationSlot]publication
-	heartbeats  map[string]heartbeat // the latest of each proxy
+	heartbeats  map[string]heartbeat // latest heartbeat of each proxy, by name
 }
 
 func (p *simulatedProxy) name() string { return p.cache.settings.ProxyName }
 
-// publicationSlot tells apart the reports that a proxy's peers store.
+// publicationSlot identifies a slot in which peers store a report of a proxy.
 type publicationSlot struct {
 	action Action
 	slot   int
 }
 
-// publication is a report that peers fetch if they missed it.
+// publication is a stored report, which peers can fetch if they did not receive it.
 type publication struct {
 	sentAt  Time
 	deliver func(to *simulatedProxy, age Time)
 }
 
-// heartbeat is what a proxy announces at an instant.
+// heartbeat is a received heartbeat of a proxy.
 type heartbeat struct {
-	at           Time
+	at           Time // when it was received
 	writeReports int64
 	incarnation  int64
 }
@@ -97,15 +97,15 @@
 	return s
 }
 
-// schedule has an event happen after a number of steps. One after no step does not happen: the events of the present
-// step have happened already.
+// schedule schedules an event after the given number of steps. With 0 steps the event never runs, because the events of
+// the current step have already run.
 func (s *fleetSimulation) schedule(steps int, event func()) {
 	at := s.now + simulationStep*Time(steps)
 	s.events[at] = append(s.events[at], event)
 }
 
 // broadcast delivers a message to all other proxies after one to six steps, unless it is lost. A paused proxy handles
-// it afterwards.
+// the message after its pause.
 func (s *fleetSimulation) broadcast(from int, deliver func(to *simulatedProxy)) {
 	for i, to := range s.proxies {
 		if i == from || s.random.Float64() < s.lossRate || !s.connected(from, i) {
@@ -121,10 +121,12 @@
 	}
 }
 
-func (s *fleetSimulation) connected(a, b int) bool { return s.isCutOff == nil || !s.isCutOff(a, b) }
+func (s *fleetSimulation) connected(a, b int) bool {
+	return s.partitioned == nil || !s.partitioned(a, b)
+}
 
-// carryOut sends the reports that a proxy's cache decided to send.
-func (s *fleetSimulation) carryOut(i int, decisions []Decision) {
+// execute sends the reports in the decisions of a proxy's cache.
+func (s *fleetSimulation) execute(i int, decisions []Decision) {
 	p := s.proxies[i]
 	for _, d := range decisions {
 		incarnation := p.incarnation
@@ -138,11 +140,11 @@
 			continue
 		}
 		p.published[publicationSlot{d.Action, d.Slot}] = publication{sentAt: s.now, deliver: deliver}
-		s.broadcast(i, func(to *simulatedProxy) { deliver(to, 0) }) // the age does not count the time in an inbox
+		s.broadcast(i, func(to *simulatedProxy) { deliver(to, 0) }) // the age does not include the time in an inbox
 	}
 }
 
-// lookUp looks a key up at a proxy, which fetches it from the origin if it is not known to be absent.
+// lookUp looks up a key at a proxy. The proxy fetches the key from the origin unless it is cached as absent.
 func (s *fleetSimulation) lookUp(i, key int) {
 	p, hash := s.proxies[i], hashOf(key)
 	if p.cache.Table.Contains(hash, s.now) {
@@ -162,17 +164,17 @@
 	})
 	s.schedule(originSteps+1+s.random.IntN(3), func() {
 		if absent && !p.paused {
-			s.carryOut(i, p.cache.KeyFetchedAbsent(s.now, hash, fetch, -1))
+			s.execute(i, p.cache.KeyFetchedAbsent(s.now, hash, fetch, -1))
 		}
 	})
 }
 
-// write writes a key through a proxy. The origin applies it later.
+// write writes a key through a proxy. The origin applies the write one to twenty steps later.
 func (s *fleetSimulation) write(i, key int) {
 	cache, hash := s.proxies[i].cache, hashOf(key)
 	cache.Table.RecordWrite(hash, s.now)
 	if s.defect != writesNotReported {
-		s.carryOut(i, cache.WriteAccepted(s.now, hash))
+		s.execute(i, cache.WriteAccepted(s.now, hash))
 	}
 	s.schedule(1+s.random.IntN(20), func() {
 		if _, written := s.writtenAt[key]; !written {
@@ -181,7 +183,7 @@
 	})
 }
 
-// run simulates a time span, with load in each step.
+// run simulates the given duration and calls load in each step.
 func (s *fleetSimulation) run(span Time, load func()) {
 	for end := s.now + span; s.now < end; {
 		s.now += simulationStep
@@ -200,14 +202,14 @@
 	}
 }
 
-// stepProxy has a proxy do what is due in a step.
+// stepProxy performs the actions of a proxy that are due in a step.
 func (s *fleetSimulation) stepProxy(i int, p *simulatedProxy) {
 	inbox := p.inbox
 	p.inbox = nil
 	for _, handle := range inbox {
 		handle()
 	}
-	s.carryOut(i, p.cache.Tick(s.now))
+	s.execute(i, p.cache.Tick(s.now))
 	step := int(s.now / simulationStep)
 	if step%heartbeatSteps == i%heartbeatSteps {
 		s.sendHeartbeat(i, p)
@@ -229,7 +231,7 @@
 	})
 }
 
-// fetchMissedReports has a proxy read all reports that another one published.
+// fetchMissedReports delivers to a proxy all reports that a random other proxy has published.
 func (s *fleetSimulation) fetchMissedReports(i int, p *simulatedProxy) {
 	k := s.random.IntN(len(s.proxies))
 	if k == i || s.proxies[k].paused || !s.connected(i, k) {
@@ -250,11 +252,11 @@
 		})
 	}
 	catchingUp := p.pausedUntil > 0 && s.now-p.pausedUntil < Second
-	s.carryOut(i, p.cache.UpdateFleet(s.now, fleet, len(s.proxies), catchingUp))
+	s.execute(i, p.cache.UpdateFleet(s.now, fleet, len(s.proxies), catchingUp))
 }
 
-// simulateFaults has keys looked up all over and written now and then, with everything that may go wrong between
-// proxies: a third of the messages lost, a partition, a paused proxy.
+// simulateFaults simulates frequent lookups and rare writes at all proxies, under loss of a third of the messages, a
+// partition and a paused proxy.
 func simulateFaults(seed uint64, planted defect) *fleetSimulation {
 	s := newFleetSimulation(seed, planted)
 	keys := rand.NewZipf(rand.New(rand.NewPCG(seed, 2)), 1.2, 4, simulatedKeys)
@@ -268,15 +270,15 @@
 			s.write(i, int(keys.Uint64())) // most likely a key that has been looked up
 		}
 		if s.random.Float64() < 0.005 {
-			clear(s.writtenAt) // the origin removes all keys, so that they are absent again
+			clear(s.writtenAt) // the origin deletes all keys, so that they are absent again
 		}
 	}
 	s.run(8*Second, load)
 	s.lossRate = 0.33
 	s.run(8*Second, load)
-	s.isCutOff = func(a, b int) bool { return (a < 2) != (b < 2) }
+	s.partitioned = func(a, b int) bool { return (a < 2) != (b < 2) }
 	s.run(9*Second, load)
-	s.isCutOff = nil
+	s.partitioned = nil
 	s.run(6*Second, load)
 	s.proxies[3].paused = true
 	s.run(6*Second, load)
@@ -287,8 +289,8 @@
 	return s
 }
 
-// maxAllowedStaleness is how long after its write a key may be served as absent: until the writer's last heartbeat has
-// timed out, or the one just before it has arrived and the grace is over.
+// maxAllowedStaleness is the maximum time after its write at which a key may be served as absent. By then the writer's
+// last heartbeat has timed out, or the heartbeat that announces the write has arrived and the grace period is over.
 const maxAllowedStaleness = reachabilityTimeout + reportGrace + Second
 
 func TestStalenessIsBounded(t *testing.T) {
@@ -296,7 +298,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			s := simulateFaults(seed, noDefect)
 			if s.maxStaleness > maxAllowedStaleness || s.hits < 1000 {
-				t.Errorf("a key is served as absent %.2f s after its write; %d hits, %d fetches",
+				t.Errorf("got a key served as absent %.2f s after its write, %d hits, %d fetches",
 					inSeconds(s.maxStaleness), s.hits, s.fetches)
 			}
 		})
@@ -318,7 +320,7 @@
 				staleness = max(staleness, simulateFaults(seed, c.planted).maxStaleness)
 			}
 			if staleness <= maxAllowedStaleness {
-				t.Errorf("keys are served as absent at most %.2f s after their write, want over %.2f s",
+				t.Errorf("got keys served as absent at most %.2f s after their write, want over %.2f s",
 					inSeconds(staleness), inSeconds(maxAllowedStaleness))
 			}
 		})
--- a/negativecache/table_test.go
+++ b/negativecache/table_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// hashOf returns the hash of the key with a number.
+// hashOf returns the hash of the key with the given number.
 func hashOf(key int) uint64 { return uint64(key)*0x9e3779b97f4a7c15 ^ 0xabcdef }
 
-// fetchAbsent has a table record a key as absent by a fetch that takes no time, and reports whether it was stored.
+// fetchAbsent records a key as absent by a fetch that takes no time, and reports whether the key was stored.
 func fetchAbsent(table *Table, hash uint64, now Time) bool {
 	return table.recordAbsent(hash, table.BeginFetch(hash), now)
 }
 
-// newServingTable returns a table that serves absent keys for longer than a test takes.
+// newServingTable returns a table that serves absent keys for longer than any test runs.
 func newServingTable(entries int, ttl Time) *Table {
 	table := newTable(entries, ttl)
 	table.serveUntil(10000 * Second)
@@ -93,11 +93,11 @@
 	}
 }
 
-// keysReadBeforeScan is the number of keys, from key 0 on, that were looked up in the table of newScannedTable.
+// keysReadBeforeScan is the number of keys, starting with key 0, that were looked up in the table of newScannedTable.
 const keysReadBeforeScan = 500
 
-// newScannedTable returns a table that was filled by some absent keys that were looked up since, and then by a scan of
-// far more keys than it can hold, none of which was looked up again.
+// newScannedTable returns a table with some absent keys that have been looked up, to which a scan has then added far more
+// keys than the table can hold. None of the scanned keys has been looked up again.
 func newScannedTable() *Table {
 	table := newServingTable(4096, 100*Second)
 	for i := range keysReadBeforeScan {
@@ -120,7 +120,7 @@
 		}
 	}
 	if retained < minRetained {
-		t.Errorf("%d of %d keys retained after a scan, want %d", retained, keysReadBeforeScan, minRetained)
+		t.Errorf("got %d of %d keys retained after a scan, want at least %d", retained, keysReadBeforeScan, minRetained)
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 }
 
-// TestTableIsSafeForConcurrentUse is for the race detector.
+// TestTableIsSafeForConcurrentUse only fails under the race detector.
 func TestTableIsSafeForConcurrentUse(_ *testing.T) {
 	table := newServingTable(4096, 10*Second)
 	var workers sync.WaitGroup
@@ -152,7 +152,7 @@
 	workers.Wait()
 }
 
-// useTable makes one of the calls that may be made from any goroutine: a write, a fetch, a report, a flush or a lookup.
+// useTable makes one of the calls that are safe on any goroutine: a write, a fetch, a report, a flush or a lookup.
 func useTable(table *Table, worker, i int) {
 	hash, now := hashOf(i%500), Time(i)
 	switch (i + worker) % 10 {
@@ -171,7 +171,8 @@
 	}
 }
 
-// benchmarkLookup measures lookups in a table that is half full, of keys that it holds or of others.
+// benchmarkLookup measures lookups in a table that is half full. The keys are entries/2 consecutive ones from firstKey;
+// the table holds those from 0.
 func benchmarkLookup(b *testing.B, entries, firstKey int) {
 	b.Helper()
 	table := newServingTable(entries, 1000*Second)
--- a/negativecache/wire_golden_test.go
+++ b/negativecache/wire_golden_test.go
@@ -8,7 +8,7 @@
 	"woodproxy/negativecache"
 )
 
-// Reports are the bodies of the gossip rows of written and of absent keys.
+// The encoding of reports, which are the bodies of the gossip rows of written and absent keys, must not change.
 func TestReportEncodingGolden(t *testing.T) {
 	goldentest.Msgpack(t, "words.golden", []goldentest.Value{
 		{Name: "word-full", Full: true, Value: &negativecache.KeyReport{
@@ -20,7 +20,7 @@
 	})
 }
 
-// The action selects the kind of the gossip row, and the age of a report is sent in units of time.
+// The values of the actions, which select the kind of the gossip row, and the unit in which ages are sent must not change.
 func TestWireNumbers(t *testing.T) {
 	for _, c := range []struct {
 		name      string
