--- a/negativecache/cache.go
+++ b/negativecache/cache.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 const (
-	servingLease   = Second / 2 // serving time after a fleet update; updates come several times a second
+	servingLease   = Second / 2 // serving time granted by a fleet update; updates come several times a second
 	maxTransitTime = Second / 2 // maximum transit time of a report between proxies, which is not part of the report's age
 	catchUpTime    = Second     // time in which a process that was paused reads the reports queued during the pause
 )
