--- a/balancer/current.go
+++ b/balancer/current.go
@@ -1,7 +1,8 @@
 package balancer
 
-// isSettled holds for a request that is answered, or whose answer has begun and comes by its own attempt.
-func (b *Balancer) isSettled() bool { return !b.current.live || b.current.streaming }
+// isRepliedOrStreaming reports whether the current request needs no further decision: it has its final reply, or its
+// reply is being streamed and ends with the attempt.
+func (b *Balancer) isRepliedOrStreaming() bool { return !b.current.live || b.current.streaming }
 
 func (b *Balancer) isInFlight() bool { return b.current.inFlight > 0 }
 
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -8,11 +8,11 @@
 // begin starts the handling of an event.
 func (b *Balancer) begin(now Time) { b.now, b.decisions = now, b.decisions[:0] }
 
-// settle applies rules until none matches and returns the decisions of the event.
-func (b *Balancer) settle() []Decision {
+// applyRules applies rules until none matches and returns the decisions on the event.
+func (b *Balancer) applyRules() []Decision {
 	for b.applyFirstRule() {
 	}
-	b.scheduleWake()
+	b.scheduleTimer()
 	return b.decisions
 }
 
@@ -31,8 +31,8 @@
 	return false
 }
 
-// scheduleWake asks for a wake-up, unless one is under way that comes early enough.
-func (b *Balancer) scheduleWake() {
+// scheduleTimer sets the timer unless it already fires early enough.
+func (b *Balancer) scheduleTimer() {
 	next := b.pollAt
 	if len(b.deadlines.entries) > 0 {
 		next = min(next, b.deadlines.entries[0].at)
@@ -40,8 +40,8 @@
 	if b.originQueue.length > 0 && b.origin.nextAttemptAt > b.now {
 		next = min(next, b.origin.nextAttemptAt)
 	}
-	if next < b.wakeAt {
-		b.wakeAt = next
+	if next < b.timerAt {
+		b.timerAt = next
 		b.emit(Decision{Action: SetTimer, After: max(next-b.now, 1)})
 	}
 }
@@ -56,12 +56,12 @@
 	b.current, b.currentIndex, b.candidate = &b.requests[index], index, notSearched
 }
 
-// releaseCurrent ends the deciding on the current request until the next event that concerns it.
+// releaseCurrent ends the decisions on the current request until the next event that concerns it.
 func (b *Balancer) releaseCurrent() { b.current = nil }
 
 func (b *Balancer) hasPending() bool { return len(b.pending) > 0 }
 
-func (b *Balancer) takePending() {
+func (b *Balancer) selectPending() {
 	b.setCurrent(b.pending[0])
 	b.pending = slices.Delete(b.pending, 0, 1)
 }
@@ -70,7 +70,7 @@
 	return len(b.deadlines.entries) > 0 && b.deadlines.entries[0].at <= b.now
 }
 
-func (b *Balancer) takeExpired() {
+func (b *Balancer) selectExpired() {
 	index := b.deadlines.entries[0].request
 	b.clearDeadline(index)
 	if b.requests[index].following {
@@ -79,14 +79,14 @@
 	b.setCurrent(index)
 }
 
-func (b *Balancer) takeQueued() {
+func (b *Balancer) selectQueued() {
 	index := b.originQueue.first()
 	b.dequeue(index)
 	b.setCurrent(index)
 }
 
-// rule is one line of the decision logic. The first one of the stage whose predicate holds is applied, until
-// none does. Predicates change nothing that is decided; the order of the rules matters.
+// rule is one rule of the decision logic. The first rule of the current stage whose predicate matches is applied, and
+// this is repeated until none matches. Predicates do not change decisions; the order of the rules matters.
 type rule struct {
 	stage   stage
 	matches func(b *Balancer) bool
@@ -96,6 +96,6 @@
 type stage uint8
 
 const (
-	selecting stage = iota // there is no current request: choose one
+	selecting stage = iota // no request is selected: select the next one
 	deciding               // decide on the current request
 )
