--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// errorAnswer is an error as JSON: its type, a sentence that says what to do, and the error's own fields.
-type errorAnswer struct {
+// errorResponse is an error as JSON: its type, a sentence that says what to do, and the error's own fields.
+type errorResponse struct {
 	Type    string `json:"type"`
 	Message string `json:"error"`
 	Details error  `json:"found,omitempty"`
 }
 
-// newErrorAnswer describes the error to a caller.
-func newErrorAnswer(err error) errorAnswer {
-	return errorAnswer{Type: typeName(err), Message: err.Error(), Details: err}
+// newErrorResponse describes the error to a caller.
+func newErrorResponse(err error) errorResponse {
+	return errorResponse{Type: typeName(err), Message: err.Error(), Details: err}
 }
 
 // typeName returns the name by which callers know an error's type. Errors of the planner state it themselves, since it must
--- a/internal/admin/answer_test.go
+++ b/internal/admin/answer_test.go
@@ -15,7 +15,7 @@
 func (e *namedError) Error() string    { return "named" }
 func (e *namedError) TypeName() string { return "planner.NamedError" }
 
-func TestTypeNamePrefersTheNameThatAnErrorStates(t *testing.T) {
+func TestTypeNamePrefersTypeNameMethod(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestWriteJSONAnswersWithStatusTypeAndBody(t *testing.T) {
+func TestWriteJSONWritesStatusContentTypeAndBody(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -43,11 +43,11 @@
 	}{
 		{name: "value", status: http.StatusOK, value: map[string]int{"moves": 2}, body: `{"moves":2}` + "\n"},
 		{
-			name: "error with its fields", status: http.StatusConflict, value: newErrorAnswer(&namedError{Figure: 3}),
+			name: "error with its fields", status: http.StatusConflict, value: newErrorResponse(&namedError{Figure: 3}),
 			body: `{"type":"planner.NamedError","error":"named","found":{"Figure":3}}` + "\n",
 		},
 		{
-			name: "error without fields", status: http.StatusNotFound, value: errorAnswer{Message: "none"},
+			name: "error without fields", status: http.StatusNotFound, value: errorResponse{Message: "none"},
 			body: `{"type":"","error":"none"}` + "\n",
 		},
 	} {
--- a/internal/admin/commands.go
+++ b/internal/admin/commands.go
@@ -39,8 +39,8 @@
 }
 
 const (
-	// forceWords is what the operator has to write out for an override that leaves no zone in.
-	forceWords = "leave no zone"
+	// forcePhrase is what the operator has to write out for an override that leaves no zone in.
+	forcePhrase = "leave no zone"
 	// anyEpoch stands for whichever override is current.
 	anyEpoch = -1
 )
@@ -86,9 +86,9 @@
 	switch text := query.Get("force"); text {
 	case "":
 		return false, nil
-	case forceWords:
+	case forcePhrase:
 		return true, nil
 	default:
-		return false, fmt.Errorf("force: %q: it takes the words %q", text, forceWords)
+		return false, fmt.Errorf("force: %q: it takes the words %q", text, forcePhrase)
 	}
 }
--- a/internal/admin/commands_test.go
+++ b/internal/admin/commands_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestParseEpochTakesANumberOrNothing(t *testing.T) {
+func TestParseEpochAcceptsNumberOrAbsence(t *testing.T) {
 	for _, c := range []struct {
 		name, query string
 		want        int64
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestParseForceTakesTheWordsOnly(t *testing.T) {
+func TestParseForceAcceptsOnlyForcePhrase(t *testing.T) {
 	for _, c := range []struct {
 		name, query string
 		want        bool
--- a/internal/admin/connlimit_test.go
+++ b/internal/admin/connlimit_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestConnLimiterReusesPlaceOfClosedConnection(t *testing.T) {
+func TestConnLimiterReusesSlotOfClosedConnection(t *testing.T) {
 	listener := limitedListener(t, 2)
 	first, _ := connect(t, listener)
 	_, second := connect(t, listener)
--- a/internal/admin/plan.go
+++ b/internal/admin/plan.go
@@ -18,9 +18,9 @@
 		plan, err := service.PlanMigrations(http.MaxBytesReader(w, r.Body, maxInventoryBytes))
 		switch {
 		case err != nil:
-			writeJSON(w, http.StatusConflict, newErrorAnswer(err))
+			writeJSON(w, http.StatusConflict, newErrorResponse(err))
 		case plan == nil:
-			writeJSON(w, http.StatusNotFound, errorAnswer{Message: "no file of moves is named"})
+			writeJSON(w, http.StatusNotFound, errorResponse{Message: "no file of moves is named"})
 		default:
 			writeJSON(w, http.StatusOK, plan)
 		}
@@ -33,5 +33,5 @@
 	if err := controller.SetReadDeadline(now.Add(planReadTimeout)); err != nil {
 		return err
 	}
-	return controller.SetWriteDeadline(now.Add(planTimeout))
+	return controller.SetWriteDeadline(now.Add(planWriteTimeout))
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	callTimeout     = 2 * time.Second // to read a call; its answer may take as long again
+	readTimeout     = 2 * time.Second // to read a call; its answer may take as long again
 	maxHeaderBytes  = 4 << 10         // net/http reads a little more than this
 	maxConnections  = 8               // at once; one more evicts the oldest
-	answerTimeout   = 2 * callTimeout // from the end of a call's header to the end of its answer
+	writeTimeout   = 2 * readTimeout // from the end of a call's header to the end of its answer
 	planReadTimeout = 10 * time.Second
-	planTimeout     = 2 * planReadTimeout // from the header's end to the end of the plan
+	planWriteTimeout     = 2 * planReadTimeout // from the header's end to the end of the plan
 )
 
 // Server is the operators' listener with its connections.
@@ -31,9 +31,9 @@
 	}
 	server := &http.Server{
 		Handler:           newHandler(service),
-		ReadTimeout:       callTimeout,
-		ReadHeaderTimeout: callTimeout,
-		WriteTimeout:      answerTimeout,
+		ReadTimeout:       readTimeout,
+		ReadHeaderTimeout: readTimeout,
+		WriteTimeout:      writeTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          log.New(io.Discard, "", 0), // callers must not fill the log with malformed headers
 	}
