--- a/internal/configfile/range.go
+++ b/internal/configfile/range.go
@@ -15,8 +15,8 @@
 }
 
 // Range describes the value of a key and the range from least to most, both included, in which it has to be.
-func Range(key string, value, least, most float64) RangeError {
-	return RangeError{Key: key, Value: value, Min: least, Max: most}
+func Range(key string, value, minimum, maximum float64) RangeError {
+	return RangeError{Key: key, Value: value, Min: minimum, Max: maximum}
 }
 
 // CheckRanges returns the first of the values that is outside its range, as a *RangeError, or nil. NaN is outside every range.
--- a/internal/configfile/range_test.go
+++ b/internal/configfile/range_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestCheckReturnsFirstValueOutOfRange(t *testing.T) {
+func TestCheckRangesReturnsFirstValueOutOfRange(t *testing.T) {
 	inside := Range("inside", 5, 1, 10)
 	for _, c := range []struct {
 		name   string
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestRangeErrorTellsKeyValueAndRange(t *testing.T) {
+func TestRangeErrorReportsKeyValueAndRange(t *testing.T) {
 	const want = "slack: 1.5: not from 0 to 1; give it a figure within, or leave the line out for the usual one"
 	if err := CheckRanges(Range("slack", 1.5, 0, 1)); err == nil || err.Error() != want {
 		t.Errorf("error %v, want %q", err, want)
--- a/internal/configfile/toml_test.go
+++ b/internal/configfile/toml_test.go
@@ -16,7 +16,7 @@
 	} `toml:"peer"`
 }
 
-func TestTOMLFillsFieldsAndKeepsDefaults(t *testing.T) {
+func TestDecodeTOMLFillsFieldsAndKeepsDefaults(t *testing.T) {
 	file := exampleFile{Entries: 7, Name: "default"}
 	if err := DecodeTOML([]byte("name = \"a\"\n[peer]\nport = 9\n"), &file); err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestTOMLNamesLineAndKeyOfFirstError(t *testing.T) {
+func TestDecodeTOMLReportsLineAndKeyOfFirstError(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		line       int
