--- a/internal/snapshot/errors.go
+++ b/internal/snapshot/errors.go
@@ -56,5 +56,5 @@
 // Unwrap returns the cause, or nil.
 func (e *CorruptError) Unwrap() error { return e.Err }
 
-// unreadable returns the [CorruptError] for a state file that could not be read or decoded because of err.
-func unreadable(err error) *CorruptError { return &CorruptError{Reason: err.Error(), Err: err} }
+// newCorruptError returns the [CorruptError] for a state file that could not be read or decoded because of err.
+func newCorruptError(err error) *CorruptError { return &CorruptError{Reason: err.Error(), Err: err} }
--- a/internal/snapshot/failing_disk_test.go
+++ b/internal/snapshot/failing_disk_test.go
@@ -29,7 +29,7 @@
 		t.Run(test.errno.Error(), func(t *testing.T) {
 			failing := realDisk
 			failing.probe = func(dir string) error { return &os.PathError{Op: "open", Path: dir, Err: test.errno} }
-			store, err := openOn(failing, t.TempDir(), testOwner)
+			store, err := openWithDisk(failing, t.TempDir(), testOwner)
 			if (err == nil) != test.opens {
 				t.Fatalf("opened: %v", err)
 			}
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -45,7 +45,7 @@
 	}
 	var snapshot Snapshot
 	if err := rowcodec.Decode(file[bodyOffset:], &snapshot); err != nil {
-		return nil, unreadable(err)
+		return nil, newCorruptError(err)
 	}
 	return &snapshot, nil
 }
--- a/internal/snapshot/format_golden_test.go
+++ b/internal/snapshot/format_golden_test.go
@@ -100,12 +100,12 @@
 	}{
 		{"empty", nil, "0 bytes"},
 		{"short", good[:bodyOffset-1], "15 bytes"},
-		{"foreign magic", changed(good, 0, 'X'), "it is no state of a proxy"},
-		{"other magic at its last byte", changed(good, len(magic)-1, 'x'), "it is no state of a proxy"},
-		{"earlier version", changed(good, len(magic), 0), "version 0, and this program reads 1"},
-		{"later version", changed(good, len(magic), version+1), "version 2, and this program reads 1"},
-		{"checksum", changed(good, checksumOffset, ^good[checksumOffset]), "its checksum is another"},
-		{"body", changed(good, len(good)-1, ^good[len(good)-1]), "its checksum is another"},
+		{"foreign magic", withByte(good, 0, 'X'), "it is no state of a proxy"},
+		{"other magic at its last byte", withByte(good, len(magic)-1, 'x'), "it is no state of a proxy"},
+		{"earlier version", withByte(good, len(magic), 0), "version 0, and this program reads 1"},
+		{"later version", withByte(good, len(magic), version+1), "version 2, and this program reads 1"},
+		{"checksum", withByte(good, checksumOffset, ^good[checksumOffset]), "its checksum is another"},
+		{"body", withByte(good, len(good)-1, ^good[len(good)-1]), "its checksum is another"},
 		{"no body", good[:bodyOffset], "its checksum is another"},
 		{"longer than it was written", append(bytes.Clone(good), 0), "its checksum is another"},
 		{"a body that can't be decoded", withBody([]byte{0xc1}), ""},
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestUnreadableFileKeepsContentUnderNewName pins the name to which a file that can't be read is moved.
-func TestUnreadableFileKeepsContentUnderNewName(t *testing.T) {
+// TestQuarantineKeepsContentUnderNewName pins the name to which a file that can't be read is moved.
+func TestQuarantineKeepsContentUnderNewName(t *testing.T) {
 	dir := t.TempDir()
 	store := openStore(t, dir)
 	writeStateFile(t, dir, []byte("garbled"))
@@ -196,8 +196,8 @@
 	return goldentest.ReadEncodings(t, "state.golden")[0].Encoded
 }
 
-// changed returns a copy of a file with the byte at offset replaced.
-func changed(file []byte, offset int, replacement byte) []byte {
+// withByte returns a copy of a file with the byte at offset replaced.
+func withByte(file []byte, offset int, replacement byte) []byte {
 	file = bytes.Clone(file)
 	file[offset] = replacement
 	return file
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -15,7 +15,7 @@
 	fileName         = "woodproxy.state"
 	unreadableSuffix = ".unreadable"
 	probePattern     = fileName + ".try-*"
-	newPattern       = fileName + ".new-*"
+	tempPattern       = fileName + ".new-*"
 )
 
 // Store is the state directory of one proxy.
@@ -37,9 +37,9 @@
 // Open returns the store in a directory, on behalf of the proxy named owner. It fails with a [DirError] if the
 // directory does not exist or can't be written, and with an [OwnerError] if another proxy's state file is in it. A
 // state file that can't be read is no error here: Load reports it.
-func Open(dir, owner string) (*Store, error) { return openOn(realDisk, dir, owner) }
+func Open(dir, owner string) (*Store, error) { return openWithDisk(realDisk, dir, owner) }
 
-func openOn(disk disk, dir, owner string) (*Store, error) {
+func openWithDisk(disk disk, dir, owner string) (*Store, error) {
 	if err := disk.checkWritable(dir); err != nil && !systemerror.IsTransient(err) {
 		return nil, &DirError{Dir: dir, Err: err}
 	}
@@ -81,7 +81,7 @@
 // removeLeftovers removes temporary files that killed processes have left. What can't be removed is left to the next
 // start.
 func removeLeftovers(dir string) {
-	for _, pattern := range [...]string{probePattern, newPattern} {
+	for _, pattern := range [...]string{probePattern, tempPattern} {
 		names, _ := filepath.Glob(filepath.Join(dir, pattern)) // fails only on a malformed pattern
 		for _, name := range names {
 			info, err := os.Stat(name)
