--- a/internal/hotrestart/helpers_test.go
+++ b/internal/hotrestart/helpers_test.go
@@ -13,11 +13,11 @@
 const (
 	testListen     = "10.0.0.4:6379"       // the listen address in messages, golden files among them
 	countTimeout   = 2 * time.Second       // for a change of the number of successors
-	stillWaiting   = 50 * time.Millisecond // after which something that waits is taken to wait for good
+	quietPeriod   = 50 * time.Millisecond // after which something that waits is taken to wait for good
 	maxRefusalTime = 3 * messageTimeout    // to refuse an offer
 	rawTimeout     = 5 * time.Second       // for all that a raw process does
-	reopenTime     = 50 * time.Millisecond // for a process to take the socket's name back
-	acceptTime     = 1 * time.Second       // for a client in the queue to be accepted
+	reopenDelay     = 50 * time.Millisecond // for a process to take the socket's name back
+	acceptTimeout     = 1 * time.Second       // for a client in the queue to be accepted
 	nullList       = "null"                // no endpoint list
 )
 
@@ -105,6 +105,6 @@
 	select {
 	case <-exited:
 		t.Error("the predecessor's exit is reported before it")
-	case <-time.After(stillWaiting):
+	case <-time.After(quietPeriod):
 	}
 }
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -45,12 +45,12 @@
 // offer is the predecessor's answer. The listener's descriptor comes with it.
 type offer struct {
 	hello
-	List json.RawMessage `json:"list"` // in the form of the discovery service; null: none
+	EndpointList json.RawMessage `json:"list"` // in the form of the discovery service; null: none
 }
 
 // encodeOffer returns the offer as a line. A nil list is sent as null.
 func encodeOffer(listen string, list []byte) ([]byte, error) {
-	line, err := json.Marshal(offer{hello: newHello(listen), List: list})
+	line, err := json.Marshal(offer{hello: newHello(listen), EndpointList: list})
 	if err != nil {
 		return nil, fmt.Errorf("encode offer: %w", err)
 	}
@@ -66,10 +66,10 @@
 	if err := o.check(listen); err != nil {
 		return nil, fmt.Errorf("offer: %w", err)
 	}
-	if string(o.List) == noList {
+	if string(o.EndpointList) == noList {
 		return nil, nil
 	}
-	return o.List, nil
+	return o.EndpointList, nil
 }
 
 // decodeHello checks a hello that has to be for the given address.
--- a/internal/hotrestart/message_golden_test.go
+++ b/internal/hotrestart/message_golden_test.go
@@ -140,7 +140,7 @@
 }
 
 // The predecessor understands the golden message that the successor serves, and its exit by the connection's end.
-func TestServingIsUnderstood(t *testing.T) {
+func TestPredecessorReadsServingAndExit(t *testing.T) {
 	dir := t.TempDir()
 	_, counts := openServer(t, dir, testListen, tcpListener(t), []byte(nullList))
 	conn := dialRaw(t, dir)
@@ -157,7 +157,7 @@
 }
 
 // The successor waits for the predecessor's exit, which it learns by the connection's end.
-func TestPredecessorExitIsUnderstood(t *testing.T) {
+func TestWaitForExitReturnsWhenConnectionEnds(t *testing.T) {
 	dir, listener := t.TempDir(), tcpListener(t)
 	socket := listenRaw(t, dir)
 	type accepted struct {
@@ -225,7 +225,7 @@
 }
 
 // A hello of another version or for another address ends the connection without a byte.
-func TestHelloRefused(t *testing.T) {
+func TestMismatchedHelloIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	openServer(t, dir, testListen, tcpListener(t), []byte(nullList))
 	const version = `"woodproxy_handover":1`
@@ -249,7 +249,7 @@
 
 // An offer of another version or for another address is an error that names both, and not the error that there is no
 // predecessor.
-func TestOfferRefused(t *testing.T) {
+func TestMismatchedOfferIsRefused(t *testing.T) {
 	for _, c := range []struct{ name, from, to, version, listen string }{
 		{"later version", `"woodproxy_handover":1`, `"woodproxy_handover":2`, "version 2", testListen},
 		{"no version", `"woodproxy_handover"`, `"handover"`, "version 0", testListen},
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("receive offer: %w", err)
 	}
-	list, err = receiveList(conn, buffer, n, listen)
+	list, err = receiveEndpointList(conn, buffer, n, listen)
 	if err != nil {
 		_ = listener.Close() // the predecessor still has it
 		return nil, nil, err
@@ -96,8 +96,8 @@
 	return listener, list, nil
 }
 
-// receiveList reads the rest of the offer, of which n bytes are in the buffer, and returns its list.
-func receiveList(conn *net.UnixConn, buffer []byte, n int, listen string) ([]byte, error) {
+// receiveEndpointList reads the rest of the offer, of which n bytes are in the buffer, and returns its list.
+func receiveEndpointList(conn *net.UnixConn, buffer []byte, n int, listen string) ([]byte, error) {
 	line := bytes.Clone(buffer[:n])
 	for !bytes.HasSuffix(line, []byte("\n")) {
 		if len(line) > maxOfferBytes {
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -38,7 +38,7 @@
 	if err := listener.Close(); err != nil {
 		t.Error(err)
 	}
-	setDeadline(t, predecessor.Listener, acceptTime)
+	setDeadline(t, predecessor.Listener, acceptTimeout)
 	accepted, err := predecessor.Listener.Accept()
 	if err != nil || accepted.RemoteAddr().String() != client.LocalAddr().String() {
 		t.Fatal("the client in the queue is not accepted", err)
@@ -67,7 +67,7 @@
 			t.Error(err)
 		}
 		expectCounts(t, counts, successorCounts{})
-		time.Sleep(reopenTime)
+		time.Sleep(reopenDelay)
 	}
 }
 
--- a/internal/hotrestart/rawpeer_test.go
+++ b/internal/hotrestart/rawpeer_test.go
@@ -123,8 +123,8 @@
 	return conn, in, hello, nil
 }
 
-// rawPredecessor is what a raw predecessor saw of one successor.
-type rawPredecessor struct {
+// rawPredecessorResult is what a raw predecessor saw of one successor.
+type rawPredecessorResult struct {
 	hello string // up to the end of its line
 	rest  string // until the connection's end
 	err   error
@@ -132,10 +132,10 @@
 
 // serveRaw accepts one successor, answers its hello with the offer and reads on until the connection ends. Without an offer it
 // closes the connection.
-func serveRaw(listener *net.UnixListener, offer string, passed *net.TCPListener) <-chan rawPredecessor {
-	seen := make(chan rawPredecessor, 1)
+func serveRaw(listener *net.UnixListener, offer string, passed *net.TCPListener) <-chan rawPredecessorResult {
+	seen := make(chan rawPredecessorResult, 1)
 	go func() {
-		var result rawPredecessor
+		var result rawPredecessorResult
 		defer func() { seen <- result }()
 		conn, in, hello, err := acceptRaw(listener)
 		if err != nil {
--- a/internal/hotrestart/server.go
+++ b/internal/hotrestart/server.go
@@ -17,7 +17,7 @@
 type Server struct {
 	listen     string
 	listener   *net.TCPListener
-	list       func() []byte
+	endpointList       func() []byte
 	log        *zap.Logger
 	socket     restartSocket
 	successors successors
@@ -28,7 +28,7 @@
 // there is none; it is called for each successor. notify is called at each change of the number of successors, with how many
 // hold the listener and how many of those serve; calls don't overlap, and it must not call the server's methods.
 func NewServer(dir, listen string, ln *net.TCPListener, list func() []byte, notify func(holding, serving int), log *zap.Logger) *Server {
-	s := &Server{listen: listen, listener: ln, list: list, log: log, successors: successors{notify: notify}}
+	s := &Server{listen: listen, listener: ln, endpointList: list, log: log, successors: successors{notify: notify}}
 	s.socket = restartSocket{dir: dir, listen: listen, handle: s.serveSuccessor}
 	return s
 }
@@ -84,7 +84,7 @@
 	if err := decodeHello(line, s.listen); err != nil {
 		return err
 	}
-	answer, err := encodeOffer(s.listen, s.list())
+	answer, err := encodeOffer(s.listen, s.endpointList())
 	if err != nil {
 		return err
 	}
