--- a/internal/admin/accept_error_test.go
+++ b/internal/admin/accept_error_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// failingListener fails to accept with each of its errors before it accepts.
+// failingListener is a listener whose Accept returns each of the errors once before it accepts connections.
 type failingListener struct {
 	net.Listener
 	errors []error
@@ -23,8 +23,8 @@
 	return l.Listener.Accept()
 }
 
-// Accepting fails in the ways that Linux documents: operators are served afterwards, whatever the error was. Only the end of
-// the listener ends it.
+// The admin server must survive every accept error that Linux documents: net/http stops serving for good when Accept returns
+// an error. Only a closed listener ends Accept.
 func TestAcceptErrorsEndNothing(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,15 +41,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = client.Close() }() // nothing is sent on it
+	defer func() { _ = client.Close() }() // no data is sent on the connection
 	conn, err := limiter.Accept()
 	if err != nil {
-		t.Fatalf("%d errors are left: %v", len(failing.errors), err)
+		t.Fatalf("Accept: %v with %d errors left, want a connection", err, len(failing.errors))
 	}
 	if err := errors.Join(conn.Close(), listener.Close()); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := limiter.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("a closed listener: %v", err)
+		t.Errorf("Accept on a closed listener: error %v, want %v", err, net.ErrClosed)
 	}
 }
--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// errorResponse is an error as JSON: its type, a sentence that says what to do, and the error's own fields.
+// errorResponse is the JSON form of an error: the name of its type, its message, and its exported fields.
 type errorResponse struct {
 	Type    string `json:"type"`
 	Message string `json:"error"`
 	Details error  `json:"found,omitempty"`
 }
 
-// newErrorResponse describes the error to a caller.
+// newErrorResponse returns the response that reports err.
 func newErrorResponse(err error) errorResponse {
 	return errorResponse{Type: typeName(err), Message: err.Error(), Details: err}
 }
 
-// typeName returns the name by which callers know an error's type. Errors of the planner state it themselves, since it must
-// not change with the package or the name of their Go type.
+// typeName returns the name of err's type in responses. An error whose TypeName method returns the name, such as those of the
+// planner, keeps it when its package or Go type is renamed. The name of any other error is that of its package and Go type.
 func typeName(err error) string {
 	var named interface{ TypeName() string }
 	if errors.As(err, &named) {
@@ -31,13 +31,13 @@
 	return strings.TrimPrefix(fmt.Sprintf("%T", err), "*")
 }
 
-// writeText writes an answer. A failed write means that the caller is gone or was evicted: there is nobody to tell, and
-// net/http closes the connection.
+// writeText writes a text response. A write error is ignored: it means that the caller has disconnected or that its
+// connection was evicted, and net/http closes the connection.
 func writeText(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 }
 
-// writeJSON writes an answer with its status, under the same terms as writeText.
+// writeJSON writes a JSON response with the given status code. Like writeText, it ignores write errors.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/admin/answer_test.go
+++ b/internal/admin/answer_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// namedError states the name of its type.
+// namedError is an error with a TypeName method.
 type namedError struct{ Figure int }
 
 func (e *namedError) Error() string    { return "named" }
@@ -21,10 +21,10 @@
 		err  error
 		want string
 	}{
-		{name: "stated", err: &namedError{}, want: "planner.NamedError"},
-		{name: "stated by a wrapped error", err: fmt.Errorf("plan: %w", &namedError{}), want: "planner.NamedError"},
+		{name: "TypeName method", err: &namedError{}, want: "planner.NamedError"},
+		{name: "TypeName method of a wrapped error", err: fmt.Errorf("plan: %w", &namedError{}), want: "planner.NamedError"},
 		{name: "pointer type", err: &http.MaxBytesError{}, want: "http.MaxBytesError"},
-		{name: "text only", err: errors.New("text"), want: "errors.errorString"},
+		{name: "type of package errors", err: errors.New("text"), want: "errors.errorString"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := typeName(c.err); got != c.want {
--- a/internal/admin/commands.go
+++ b/internal/admin/commands.go
@@ -8,26 +8,26 @@
 	"strconv"
 )
 
-// maxIgnoredBodyBytes is how much of a body is read and dropped where a call takes none.
+// maxIgnoredBodyBytes is the largest request body that a handler without a body reads and discards.
 const maxIgnoredBodyBytes = 4 << 10
 
-// serviceSwitch changes whether the proxy is in service, and answers with one of two lines: that it is changed, or that there
-// was nothing to change.
+// serviceSwitch returns a handler that takes the proxy out of service or puts it back in service by calling change. The
+// response is the line changed if change reports true, and the line unchanged otherwise.
 func serviceSwitch(change func() (changed bool), changed, unchanged string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxIgnoredBodyBytes)); err != nil {
 			http.Error(w, "the call takes no body", http.StatusRequestEntityTooLarge)
 			return
 		}
-		answer := unchanged
+		line := unchanged
 		if change() {
-			answer = changed
+			line = changed
 		}
-		writeText(w, answer+"\n")
+		writeText(w, line+"\n")
 	}
 }
 
-// clearNegativeCache empties the negative cache of this process.
+// clearNegativeCache returns a handler that empties the negative cache of this process.
 func clearNegativeCache(service Service) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := service.ClearNegativeCache(); err != nil {
@@ -39,13 +39,14 @@
 }
 
 const (
-	// forcePhrase is what the operator has to write out for an override that leaves no zone in.
+	// forcePhrase is the value of the query parameter force. An operator has to write it out to set an override that leaves
+	// no zone in.
 	forcePhrase = "leave no zone"
-	// anyEpoch stands for whichever override is current.
+	// anyEpoch is the epoch that selects the current override, whatever its epoch is.
 	anyEpoch = -1
 )
 
-// overrideZone sets the override of the zone in the path.
+// overrideZone returns a handler that sets the override of the zone in the path.
 func overrideZone(service Service) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
@@ -68,7 +69,8 @@
 	}
 }
 
-// parseEpoch returns the epoch of the override to replace, anyEpoch where the query has none.
+// parseEpoch returns the epoch of the override to replace, or anyEpoch if the query has none. It fails if the epoch is not
+// a non-negative integer.
 func parseEpoch(query url.Values) (int64, error) {
 	text := query.Get("epoch")
 	if text == "" {
@@ -81,7 +83,7 @@
 	return epoch, nil
 }
 
-// parseForce reports whether the query has the words that force an override.
+// parseForce reports whether the query has forcePhrase as its parameter force. Any other non-empty value is an error.
 func parseForce(query url.Values) (bool, error) {
 	switch text := query.Get("force"); text {
 	case "":
--- a/internal/admin/commands_test.go
+++ b/internal/admin/commands_test.go
@@ -36,8 +36,8 @@
 	}{
 		{name: "absent", query: ""},
 		{name: "empty", query: "force="},
-		{name: "the words", query: "force=leave+no+zone", want: true},
-		{name: "another word", query: "force=true", message: `force: "true": it takes the words "leave no zone"`},
+		{name: "phrase", query: "force=leave+no+zone", want: true},
+		{name: "another value", query: "force=true", message: `force: "true": it takes the words "leave no zone"`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := parseForce(parseQuery(t, c.query))
@@ -48,7 +48,7 @@
 	}
 }
 
-// parseQuery parses the query of a URL.
+// parseQuery parses a URL query and fails the test if it is malformed.
 func parseQuery(t *testing.T, query string) url.Values {
 	t.Helper()
 	values, err := url.ParseQuery(query)
@@ -58,7 +58,7 @@
 	return values
 }
 
-// errorText returns the error's text, "" for none.
+// errorText returns the text of err, or "" if err is nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/admin/connlimit.go
+++ b/internal/admin/connlimit.go
@@ -8,9 +8,10 @@
 	"woodproxy/internal/systemerror"
 )
 
-// connLimiter is a listener that bounds the number of open connections. A connection above the limit evicts the oldest, so that
-// callers who connect and finish no call displace each other and not the next caller. A complete call is answered in far less
-// time than it takes for as many connections as the limit to arrive.
+// connLimiter is a listener that limits the number of open connections. A connection above the limit evicts the oldest one, so
+// that callers that connect without completing a request evict each other and can't keep the next caller out. A complete
+// request is answered long before enough new connections arrive to evict its own. All methods may be called from any
+// goroutine.
 type connLimiter struct {
 	net.Listener
 	limit int
@@ -19,26 +20,27 @@
 	open []*limitedConn // oldest first
 }
 
-// newConnLimiter bounds the connections of the listener.
+// newConnLimiter returns a listener that accepts connections from listener and keeps at most limit of them open.
 func newConnLimiter(listener net.Listener, limit int) *connLimiter {
 	return &connLimiter{Listener: listener, limit: limit}
 }
 
-// Accept waits for the next connection and closes the oldest one where there are too many with it.
+// Accept waits for the next connection, and closes the oldest open one if the limit is exceeded. It retries accept errors and
+// fails only once the listener is closed.
 func (l *connLimiter) Accept() (net.Conn, error) {
-	// On an error net/http would end its service for good.
+	// net/http stops serving for good when Accept returns an error.
 	accepted, err := systemerror.AcceptPersistently(l.Listener.Accept)
 	if err != nil {
 		return nil, err
 	}
 	conn := &limitedConn{Conn: accepted, limiter: l}
 	if evicted := l.add(conn); evicted != nil {
-		_ = evicted.Close() // its caller is owed nothing
+		_ = evicted.Close() // the caller of an evicted connection gets no response
 	}
 	return conn, nil
 }
 
-// add counts the connection as open. It returns the connection that has to be closed for it, or nil.
+// add records conn as open. It returns the oldest connection if conn exceeds the limit, for the caller to close, or nil.
 func (l *connLimiter) add(conn *limitedConn) (evicted *limitedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +51,7 @@
 	return evicted
 }
 
-// remove counts the connection as closed. It may be called again for the same connection.
+// remove records conn as closed. Further calls for the same connection have no effect.
 func (l *connLimiter) remove(conn *limitedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,13 +60,13 @@
 	}
 }
 
-// limitedConn is a connection that a connLimiter counts until it is closed.
+// limitedConn is a connection that counts towards the limit of its connLimiter until it is closed.
 type limitedConn struct {
 	net.Conn
 	limiter *connLimiter
 }
 
-// Close closes the connection and frees its place.
+// Close closes the connection and frees its slot.
 func (c *limitedConn) Close() error {
 	c.limiter.remove(c)
 	return c.Conn.Close()
--- a/internal/admin/connlimit_test.go
+++ b/internal/admin/connlimit_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-const testTimeout = 5 * time.Second // for all that a test waits for
+const testTimeout = 5 * time.Second // to connect
 
-// limitedListener returns a listener on the loopback interface with the given limit of connections.
+// limitedListener returns a listener on the loopback interface that keeps at most limit connections open.
 func limitedListener(t *testing.T, limit int) *connLimiter {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -21,7 +21,7 @@
 	return newConnLimiter(listener, limit)
 }
 
-// connect returns the two ends of a new connection.
+// connect returns both ends of a new connection.
 func connect(t *testing.T, listener *connLimiter) (client, accepted net.Conn) {
 	t.Helper()
 	client, err := net.DialTimeout("tcp", listener.Addr().String(), testTimeout)
@@ -37,7 +37,7 @@
 	return client, accepted
 }
 
-// isOpen reports whether the other end has not closed the connection. It waits a moment for a close that is under way.
+// isOpen reports whether the other end has not closed the connection. It waits 50 ms for a close that is under way.
 func isOpen(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
@@ -56,7 +56,7 @@
 	}
 	for i, wantOpen := range []bool{false, false, true, true} {
 		if got := isOpen(t, clients[i]); got != wantOpen {
-			t.Errorf("connection %d is open: %v, want %v", i, got, wantOpen)
+			t.Errorf("connection %d: open %v, want %v", i, got, wantOpen)
 		}
 	}
 	if len(listener.open) != 2 {
@@ -68,13 +68,13 @@
 	listener := limitedListener(t, 2)
 	first, _ := connect(t, listener)
 	_, second := connect(t, listener)
-	for range 2 { // the second time counts for nothing
+	for range 2 { // the second Close must not free another slot
 		_ = second.Close()
 	}
 	third, _ := connect(t, listener)
 	for name, client := range map[string]net.Conn{"first": first, "third": third} {
 		if !isOpen(t, client) {
-			t.Errorf("the %s connection was evicted though a place was free", name)
+			t.Errorf("%s connection was evicted, want it open since a slot was free", name)
 		}
 	}
 	if len(listener.open) != 2 {
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -2,13 +2,13 @@
 
 import "net/http"
 
-// route is one call: the pattern of http.ServeMux that selects it, and the handler that answers it.
+// route is a pattern of http.ServeMux and the handler of the requests that match it.
 type route struct {
 	pattern string
 	handler http.Handler
 }
 
-// routes returns all calls of the operators.
+// routes returns all routes of the admin server.
 func routes(service Service) []route {
 	return []route{
 		{"GET /control/ready", readiness(service)},
@@ -26,7 +26,7 @@
 	}
 }
 
-// newHandler returns the handler of all calls.
+// newHandler returns a handler that dispatches requests to all routes.
 func newHandler(service Service) http.Handler {
 	mux := http.NewServeMux()
 	for _, r := range routes(service) {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	readTimeout     = 2 * time.Second // to read a call; its answer may take as long again
-	maxHeaderBytes  = 4 << 10         // net/http reads a little more than this
-	maxConnections  = 8               // at once; one more evicts the oldest
-	writeTimeout   = 2 * readTimeout // from the end of a call's header to the end of its answer
-	planReadTimeout = 10 * time.Second
-	planWriteTimeout     = 2 * planReadTimeout // from the header's end to the end of the plan
+	readTimeout      = 2 * time.Second     // to read one request; handling it may take as long again
+	maxHeaderBytes   = 4 << 10             // net/http reads up to 4 KiB more than this
+	maxConnections   = 8                   // open at once; a further connection evicts the oldest
+	writeTimeout     = 2 * readTimeout     // from the end of the request header to the end of the response
+	planReadTimeout  = 10 * time.Second    // from the end of the request header to the end of the inventory
+	planWriteTimeout = 2 * planReadTimeout // from the end of the request header to the end of the plan
 )
 
-// Server is the operators' listener with its connections.
+// Server is the admin server: a listener for operators and the connections accepted from it.
 type Server struct {
 	http     *http.Server
 	listener net.Listener
 }
 
-// Listen binds the TCP address. Calls are answered from Run on.
+// Listen binds the TCP address addr. Requests are served once [Server.Run] is called.
 func Listen(addr string, service Service) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, err // it names the operation and the address
+		return nil, err // the error names the operation and the address
 	}
 	server := &http.Server{
 		Handler:           newHandler(service),
@@ -35,18 +35,18 @@
 		ReadHeaderTimeout: readTimeout,
 		WriteTimeout:      writeTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          log.New(io.Discard, "", 0), // callers must not fill the log with malformed headers
+		ErrorLog:          log.New(io.Discard, "", 0), // malformed headers must not let callers flood the log
 	}
-	server.SetKeepAlivesEnabled(false) // one call a connection, so that an idle caller holds no place
+	server.SetKeepAlivesEnabled(false) // one request per connection, so that an idle caller occupies no slot
 	return &Server{http: server, listener: newConnLimiter(listener, maxConnections)}, nil
 }
 
-// Run answers calls and returns after Close. It is to be called once.
+// Run serves requests until [Server.Close] is called. It must be called only once.
 func (s *Server) Run() {
-	_ = s.http.Serve(s.listener) // always an error: http.ErrServerClosed, or that the listener failed and there are no calls
+	_ = s.http.Serve(s.listener) // Serve always returns an error: http.ErrServerClosed, or the listener's error, after which nothing is left to serve
 }
 
-// Close closes the listener and all connections. Calls that are being answered are cut off.
+// Close closes the listener and all connections, including those with a request in progress.
 func (s *Server) Close() {
-	_ = s.http.Close() // the process is stopping; the sockets are gone with it at the latest
+	_ = s.http.Close() // the process is stopping, and the kernel closes its sockets at exit at the latest
 }
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -2,7 +2,8 @@
 
 import "net/http"
 
-// readiness answers with the reason of the service's readiness, and with 503 unless it is ready.
+// readiness returns a handler that responds with the reason given by [Service.Ready], and with status 503 if the service is not
+// ready.
 func readiness(service Service) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		ready, reason := service.Ready()
@@ -13,7 +14,8 @@
 	}
 }
 
-// textStatus answers with the text of a part of the proxy, and with 404 and the given error where that part is not configured.
+// textStatus returns a handler that responds with the text that status returns, or with 404 and notConfigured if the text is
+// empty.
 func textStatus(status func() string, notConfigured string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		text := status()
@@ -25,8 +27,8 @@
 	}
 }
 
-// jsonStatus answers with the status of a part of the proxy as JSON, and with 404 and the given error where that part is not
-// configured.
+// jsonStatus returns a handler that responds with the value that status returns as JSON, or with 404 and notConfigured if the
+// value is nil.
 func jsonStatus(status func() any, notConfigured string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		value := status()
