--- a/internal/admin/accept_error_test.go
+++ b/internal/admin/accept_error_test.go
@@ -44,12 +44,12 @@
 	defer func() { _ = client.Close() }() // no data is sent on the connection
 	conn, err := limiter.Accept()
 	if err != nil {
-		t.Fatalf("Accept: %v with %d errors left, want a connection", err, len(failing.errors))
+		t.Fatalf("Accept with %d errors left: %v, want a connection", len(failing.errors), err)
 	}
 	if err := errors.Join(conn.Close(), listener.Close()); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := limiter.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("Accept on a closed listener: error %v, want %v", err, net.ErrClosed)
+		t.Errorf("Accept on a closed listener: error %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -21,8 +21,9 @@
 	return errorResponse{Type: typeName(err), Message: err.Error(), Details: err}
 }
 
-// typeName returns the name of err's type in responses. An error whose TypeName method returns the name, such as those of the
-// planner, keeps it when its package or Go type is renamed. The name of any other error is that of its package and Go type.
+// typeName returns the name of err's type in responses. An error whose TypeName method returns the name, such as those of
+// the planner, keeps it when its package or Go type is renamed. The name of any other error is that of its package and Go
+// type.
 func typeName(err error) string {
 	var named interface{ TypeName() string }
 	if errors.As(err, &named) {
--- a/internal/admin/connlimit.go
+++ b/internal/admin/connlimit.go
@@ -8,8 +8,8 @@
 	"woodproxy/internal/systemerror"
 )
 
-// connLimiter is a listener that limits the number of open connections. A connection above the limit evicts the oldest one, so
-// that callers that connect without completing a request evict each other and can't keep the next caller out. A complete
+// connLimiter is a listener that limits the number of open connections. A connection above the limit evicts the oldest one,
+// so that callers that connect without completing a request evict each other and can't keep the next caller out. A complete
 // request is answered long before enough new connections arrive to evict its own. All methods may be called from any
 // goroutine.
 type connLimiter struct {
@@ -25,8 +25,8 @@
 	return &connLimiter{Listener: listener, limit: limit}
 }
 
-// Accept waits for the next connection, and closes the oldest open one if the limit is exceeded. It retries accept errors and
-// fails only once the listener is closed.
+// Accept waits for the next connection, and closes the oldest open one if the limit is exceeded. It retries accept errors
+// and fails only once the listener is closed.
 func (l *connLimiter) Accept() (net.Conn, error) {
 	// net/http stops serving for good when Accept returns an error.
 	accepted, err := systemerror.AcceptPersistently(l.Listener.Accept)
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// readiness returns a handler that responds with the reason given by [Service.Ready], and with status 503 if the service is not
-// ready.
+// readiness returns a handler that responds with the reason given by [Service.Ready], and with status 503 if the service is
+// not ready.
 func readiness(service Service) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		ready, reason := service.Ready()
@@ -27,8 +27,8 @@
 	}
 }
 
-// jsonStatus returns a handler that responds with the value that status returns as JSON, or with 404 and notConfigured if the
-// value is nil.
+// jsonStatus returns a handler that responds with the value that status returns as JSON, or with 404 and notConfigured if
+// the value is nil.
 func jsonStatus(status func() any, notConfigured string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		value := status()
--- a/internal/configfile/range.go
+++ b/internal/configfile/range.go
@@ -2,24 +2,26 @@
 
 import "fmt"
 
-// RangeError reports a value that is outside its range. It also describes a value that is still to be checked: [Range]
-// returns one, [CheckRanges] decides whether it is an error.
+// RangeError reports a value that is outside its range. It also describes a value to check: [Range] returns a RangeError for
+// any value, and [CheckRanges] decides whether it is an error.
 type RangeError struct {
-	Key             string  // as the configuration file names it
-	Value, Min, Max float64 // in the key's unit; both bounds are in the range
+	Key             string  // key in the configuration file
+	Value, Min, Max float64 // in the unit of the key; both bounds are inclusive
 }
 
+// Error returns a line with the key, the value and the range.
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("%s: %v: not from %v to %v; give it a figure within, or leave the line out for the usual one",
 		e.Key, e.Value, e.Min, e.Max)
 }
 
-// Range describes the value of a key and the range from least to most, both included, in which it has to be.
+// Range describes the value of a key and its valid range, from minimum to maximum inclusive.
 func Range(key string, value, minimum, maximum float64) RangeError {
 	return RangeError{Key: key, Value: value, Min: minimum, Max: maximum}
 }
 
-// CheckRanges returns the first of the values that is outside its range, as a *RangeError, or nil. NaN is outside every range.
+// CheckRanges returns the first value that is outside its range, as a *RangeError, or nil if there is none. NaN is outside
+// every range.
 func CheckRanges(values ...RangeError) error {
 	for _, v := range values {
 		if !v.inRange() {
@@ -29,7 +31,7 @@
 	return nil
 }
 
-// inRange reports whether the value is a number within the range. NaN fails both comparisons.
+// inRange reports whether the value is within the range. NaN is not, since it fails both comparisons.
 func (e *RangeError) inRange() bool {
 	return e.Value >= e.Min && e.Value <= e.Max
 }
--- a/internal/configfile/range_test.go
+++ b/internal/configfile/range_test.go
@@ -11,7 +11,7 @@
 	for _, c := range []struct {
 		name   string
 		values []RangeError
-		key    string // of the value at fault, empty: none
+		key    string // key of the value that is out of range; empty if there is none
 	}{
 		{name: "no values"},
 		{name: "within", values: []RangeError{inside}},
@@ -26,13 +26,13 @@
 			err := CheckRanges(c.values...)
 			if c.key == "" {
 				if err != nil {
-					t.Errorf("error %v, want none", err)
+					t.Errorf("CheckRanges: error %v, want nil", err)
 				}
 				return
 			}
 			var got *RangeError
 			if !errors.As(err, &got) || got.Key != c.key {
-				t.Errorf("error %v, want a RangeError of %q", err, c.key)
+				t.Errorf("CheckRanges: error %v, want a RangeError for key %q", err, c.key)
 			}
 		})
 	}
@@ -41,6 +41,6 @@
 func TestRangeErrorReportsKeyValueAndRange(t *testing.T) {
 	const want = "slack: 1.5: not from 0 to 1; give it a figure within, or leave the line out for the usual one"
 	if err := CheckRanges(Range("slack", 1.5, 0, 1)); err == nil || err.Error() != want {
-		t.Errorf("error %v, want %q", err, want)
+		t.Errorf("CheckRanges: error %v, want %q", err, want)
 	}
 }
--- a/internal/configfile/toml.go
+++ b/internal/configfile/toml.go
@@ -9,16 +9,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ErrUnknownKey is the cause of a DecodeError for a key that the file's type has no field for.
+// ErrUnknownKey is the cause of a DecodeError for a key without a field in the target type.
 var ErrUnknownKey = errors.New("unknown")
 
-// DecodeError reports the first key of a TOML text that could not be decoded.
+// DecodeError reports the first key in a TOML text that could not be decoded.
 type DecodeError struct {
-	Line int    // of the text, from 1
-	Key  string // in dotted form, empty where the text can't be parsed
+	Line int    // line of the text, from 1
+	Key  string // dotted key; empty if the text has a syntax error
 	Err  error  // ErrUnknownKey or the TOML decoder's error
 }
 
+// Error returns a line with the line number, the key and the cause.
 func (e *DecodeError) Error() string {
 	return fmt.Sprintf("line %d: %s: %v", e.Line, e.Key, e.Err)
 }
@@ -26,9 +27,9 @@
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// DecodeTOML decodes a text into the value that target points to. Fields without a key in the text keep their values, so that
-// the caller sets the defaults beforehand. An unknown key, a value of the wrong type or a syntax error is returned as a
-// *DecodeError; target may be partly filled by then.
+// DecodeTOML decodes a TOML text into the value that target points to. Fields without a key in the text keep their values,
+// so the caller sets defaults before the call. An unknown key, a value of the wrong type and a syntax error are returned as
+// a *DecodeError; target may have been filled in part.
 func DecodeTOML(text []byte, target any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
 	var unknownKeys *toml.StrictMissingError
@@ -43,7 +44,7 @@
 	return err
 }
 
-// decodeError returns a DecodeError at the position of an error of the TOML decoder.
+// decodeError returns a DecodeError with the given cause and the line and key of an error of the TOML decoder.
 func decodeError(at *toml.DecodeError, cause error) error {
 	line, _ := at.Position()
 	return &DecodeError{Line: line, Key: strings.Join(at.Key(), "."), Err: cause}
--- a/internal/configfile/toml_test.go
+++ b/internal/configfile/toml_test.go
@@ -7,7 +7,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// exampleFile has a default, a number, a text and a table.
+// exampleFile is a configuration file with a number, a string and a table.
 type exampleFile struct {
 	Entries int    `toml:"entries"`
 	Name    string `toml:"name"`
@@ -34,7 +34,7 @@
 		line       int
 		key        string
 		unknown    bool
-		message    string // empty: the TOML decoder's own words follow the line and the key
+		message    string // full error text; empty if it ends with the TOML decoder's own message, which is not checked
 	}{
 		{name: "unknown key", text: "entries = 1\nentrees = 2\n", line: 2, key: "entrees", unknown: true, message: "line 2: entrees: unknown"},
 		{
@@ -52,14 +52,14 @@
 				t.Fatalf("error %v, want a DecodeError", err)
 			}
 			if got.Line != c.line || got.Key != c.key {
-				t.Errorf("line %d and key %q, want %d and %q", got.Line, got.Key, c.line, c.key)
+				t.Errorf("got line %d and key %q, want %d and %q", got.Line, got.Key, c.line, c.key)
 			}
 			if errors.Is(err, ErrUnknownKey) != c.unknown {
-				t.Errorf("error %v, want an unknown key: %v", err, c.unknown)
+				t.Errorf("error %v, want it caused by ErrUnknownKey: %v", err, c.unknown)
 			}
 			var decoder *toml.DecodeError
 			if !c.unknown && !errors.As(err, &decoder) {
-				t.Errorf("error %v, want the decoder's as its cause", err)
+				t.Errorf("error %v, want one caused by a toml.DecodeError", err)
 			}
 			if c.message != "" && err.Error() != c.message {
 				t.Errorf("error %q, want %q", err, c.message)
