--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -43,7 +43,8 @@
 
 // Run serves requests until [Server.Close] is called. It must be called only once.
 func (s *Server) Run() {
-	_ = s.http.Serve(s.listener) // Serve always returns an error: http.ErrServerClosed, or the listener's error, after which nothing is left to serve
+	// Serve always returns an error: http.ErrServerClosed, or that of a failed listener, which accepts no more connections.
+	_ = s.http.Serve(s.listener)
 }
 
 // Close closes the listener and all connections, including those with a request in progress.
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -10,8 +10,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Layout of the state file: magic number, format version (one byte), checksum of the body (64-bit xxHash, little
-// endian), body (a Snapshot in msgpack).
+// Layout of the state file: magic number, format version (one byte), checksum of the body (64-bit xxHash, little endian),
+// body (a Snapshot in msgpack).
 const (
 	magic          = "WOODPRX"
 	formatVersion  = 1
@@ -21,11 +21,11 @@
 	bodyOffset     = checksumOffset + checksumLength
 )
 
-// maxFileLength limits the memory that a damaged or foreign file can cost: 16 MiB is many times the largest endpoint
-// list.
+// maxFileLength is the maximum length of a state file in bytes. It limits the memory that reading a corrupt or foreign file
+// takes; 16 MiB is many times the size of the largest endpoint list.
 const maxFileLength = 16 << 20
 
-// encode returns the state file for a snapshot.
+// encode returns the content of a state file with the given snapshot.
 func encode(snapshot *Snapshot) ([]byte, error) {
 	body, err := msgpack.Marshal(snapshot)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return append(file, body...), nil
 }
 
-// decode returns the snapshot in a state file. Every error is a [CorruptError].
+// decode returns the snapshot in the content of a state file. Every error is a [CorruptError].
 func decode(file []byte) (*Snapshot, error) {
 	if err := checkHeader(file); err != nil {
 		return nil, err
@@ -50,20 +50,20 @@
 	return &snapshot, nil
 }
 
-// checkHeader checks length, magic number, version and checksum. The version is looked at before the checksum: a later
-// version may compute that in another way.
+// checkHeader returns a [CorruptError] unless the length, magic number, version and checksum are valid. It checks the
+// version before the checksum, since a later version may use another checksum.
 func checkHeader(file []byte) error {
 	switch {
 	case len(file) < bodyOffset:
-		return &CorruptError{Reason: fmt.Sprintf("%d bytes", len(file))}
+		return &CorruptError{Reason: fmt.Sprintf("%d bytes, shorter than the header", len(file))}
 	case len(file) > maxFileLength:
-		return &CorruptError{Reason: fmt.Sprintf("over %d bytes", maxFileLength)}
+		return &CorruptError{Reason: fmt.Sprintf("longer than %d bytes", maxFileLength)}
 	case string(file[:versionOffset]) != magic:
-		return &CorruptError{Reason: "it is no state of a proxy"}
+		return &CorruptError{Reason: "not a state file of a proxy"}
 	case file[versionOffset] != formatVersion:
-		return &CorruptError{Reason: fmt.Sprintf("version %d, and this program reads %d", file[versionOffset], formatVersion)}
+		return &CorruptError{Reason: fmt.Sprintf("format version %d, want %d", file[versionOffset], formatVersion)}
 	case binary.LittleEndian.Uint64(file[checksumOffset:bodyOffset]) != xxhash.Sum64(file[bodyOffset:]):
-		return &CorruptError{Reason: "its checksum is another"}
+		return &CorruptError{Reason: "checksum mismatch"}
 	}
 	return nil
 }
--- a/internal/snapshot/replacefile.go
+++ b/internal/snapshot/replacefile.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// replaceFile replaces the file at path atomically: after a crash at any moment, path names either the complete
-// previous file or the complete new one. If it fails, the previous file is unchanged, or the new one is in place and may
-// be lost with the machine: the caller tries again in either case.
+// replaceFile replaces the file at path atomically: after a crash at any time, path names either the complete previous file
+// or the complete new one. After an error the previous file is unchanged, or the new file is in place but may be lost if the
+// machine crashes; the caller has to call replaceFile again in both cases.
 func replaceFile(path string, data []byte) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
@@ -20,14 +20,13 @@
 		err = os.Rename(temporary.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary.Name()) // the first error is the one to report; a file that stays is never read
+		_ = os.Remove(temporary.Name()) // the first error is reported; a temporary file that can't be removed is never read
 		return err
 	}
 	return syncDirectory(filepath.Dir(path))
 }
 
-// writeSyncClose writes data, waits until it is on the disk, and closes the file whatever happens. It returns the first
-// error.
+// writeSyncClose writes data, syncs the file to disk, and closes it even after an error. It returns the first error.
 func writeSyncClose(file *os.File, data []byte) error {
 	_, err := file.Write(data)
 	if err == nil {
@@ -39,14 +38,15 @@
 	return err
 }
 
-// syncDirectory has a rename survive a crash of the machine. Some file systems can't sync directories, which is no error.
+// syncDirectory syncs a directory to disk, so that a preceding rename in it survives a crash of the machine. It returns nil
+// if the file system can't sync directories.
 func syncDirectory(dir string) error {
 	directory, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
 	err = directory.Sync()
-	_ = directory.Close() // nothing was written to it
+	_ = directory.Close() // the directory was opened for reading
 	if errors.Is(err, syscall.EINVAL) || errors.Is(err, syscall.ENOTSUP) {
 		return nil
 	}
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -15,28 +15,31 @@
 	fileName         = "woodproxy.state"
 	unreadableSuffix = ".unreadable"
 	probePattern     = fileName + ".try-*"
-	tempPattern       = fileName + ".new-*"
+	tempPattern      = fileName + ".new-*"
 )
 
-// Store is the state directory of one proxy.
+// Store reads and writes the state file in the state directory of one proxy. Its methods do blocking I/O and may be called
+// from one goroutine at a time.
 type Store struct {
 	dir   string
-	owner string // the name of this proxy
+	owner string // name of this proxy
 	disk  disk
 }
 
-// disk is what the store does with files, which tests have fail.
+// disk is the set of file operations of a store. Tests replace them to simulate disk errors.
 type disk struct {
-	probe     func(dir string) error // creates and removes a file
+	probe     func(dir string) error // creates and removes a file in dir
 	readFile  func(path string) ([]byte, error)
 	writeFile func(path string, data []byte) error
 }
 
+// realDisk performs the operations on the file system.
 var realDisk = disk{probe: createAndRemove, readFile: readFile, writeFile: replaceFile}
 
-// Open returns the store in a directory, on behalf of the proxy named owner. It fails with a [DirError] if the
-// directory does not exist or can't be written, and with an [OwnerError] if another proxy's state file is in it. A
-// state file that can't be read is no error here: Load reports it.
+// Open returns the store in a directory for the proxy named owner, and removes temporary files that killed processes left
+// there. It fails with a [DirError] if the directory does not exist or is not writable, and with an [OwnerError] if the
+// directory contains the state file of another proxy. A temporary error while it checks the directory does not fail Open,
+// and neither does an unreadable state file, which [Store.Load] reports.
 func Open(dir, owner string) (*Store, error) { return openWithDisk(realDisk, dir, owner) }
 
 func openWithDisk(disk disk, dir, owner string) (*Store, error) {
@@ -51,8 +54,8 @@
 	return store, nil
 }
 
-// checkWritable creates a file in a directory and removes it again, since permission bits don't tell about read-only
-// mounts.
+// checkWritable returns an error unless dir is a directory in which a file can be created. It creates one and removes it
+// again, since permission bits don't show a read-only mount.
 func (d disk) checkWritable(dir string) error {
 	info, err := os.Stat(dir)
 	if err != nil {
@@ -69,17 +72,17 @@
 	if err != nil {
 		return err
 	}
-	_ = probe.Close()           // nothing was written that a failed close could lose
-	_ = os.Remove(probe.Name()) // an empty file that stays does no harm
+	_ = probe.Close()           // no data was written that a failed close could lose
+	_ = os.Remove(probe.Name()) // an empty file that can't be removed is harmless
 	return nil
 }
 
-// leftoverAge is from when on a temporary file is one that a killed process has left: no write takes as long. The clock
-// may have been set back since, so that its time may also lie in the future.
+// leftoverAge is the age above which a temporary file is a leftover of a killed process, since no write takes that long. It
+// also applies to modification times in the future: the clock may have been set back after the write.
 const leftoverAge = time.Minute
 
-// removeLeftovers removes temporary files that killed processes have left. What can't be removed is left to the next
-// start.
+// removeLeftovers removes temporary files that killed processes have left in dir. A file that can't be removed stays until
+// the next start.
 func removeLeftovers(dir string) {
 	for _, pattern := range [...]string{probePattern, tempPattern} {
 		names, _ := filepath.Glob(filepath.Join(dir, pattern)) // fails only on a malformed pattern
@@ -92,8 +95,8 @@
 	}
 }
 
-// Load returns the stored snapshot, or nil without an error if there is no state file. An error is a [CorruptError] if
-// the file holds something else than was written, and a [ReadError] if it could not be read.
+// Load returns the stored snapshot, or nil without an error if there is no state file. It fails with a [CorruptError] if the
+// content of the file is not what Save wrote, and with a [ReadError] if the file can't be read.
 func (s *Store) Load() (*Snapshot, error) {
 	data, err := s.disk.readFile(s.path())
 	if errors.Is(err, os.ErrNotExist) {
@@ -105,19 +108,20 @@
 	return decode(data)
 }
 
-// readFile returns what a file holds, of one that is too long a little more than it may.
+// readFile returns the content of a file, at most one byte more than maxFileLength, so that decode rejects a file that is
+// too long.
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was opened for reading
 	return io.ReadAll(io.LimitReader(file, maxFileLength+1))
 }
 
-// Save replaces the state file by one with the given snapshot, whose Owner it sets to this proxy. When it returns, the
-// new file is on the disk. If it fails, the file is the previous one or the new one, complete in either case, and Save is
-// to be called again.
+// Save sets the Owner of the snapshot to this proxy and replaces the state file with one that contains the snapshot. The new
+// file is synced to disk when Save returns. After an error the state file is either the previous or the new one, complete in
+// both cases, and the caller has to call Save again.
 func (s *Store) Save(snapshot *Snapshot) error {
 	snapshot.Owner = s.owner
 	data, err := encode(snapshot)
@@ -130,8 +134,8 @@
 	return nil
 }
 
-// Quarantine renames the state file to woodproxy.state.unreadable, for operators to look at, and replaces an earlier file of
-// that name. The next Load finds no state file.
+// Quarantine renames the state file to woodproxy.state.unreadable, so that operators can inspect it, and replaces an earlier
+// file of that name. The next Load finds no state file.
 func (s *Store) Quarantine() error {
 	return os.Rename(s.path(), s.path()+unreadableSuffix)
 }
