--- a/internal/hotrestart/accept_error_test.go
+++ b/internal/hotrestart/accept_error_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// failingAcceptor fails with each of its errors, and then says that it is closed.
+// failingAcceptor is an acceptor that returns each of its errors once, and then net.ErrClosed.
 type failingAcceptor struct{ errors []error }
 
 func (l *failingAcceptor) AcceptUnix() (*net.UnixConn, error) {
@@ -19,7 +19,8 @@
 	return nil, err
 }
 
-// Accepting a successor fails for a moment: the socket goes on to accept, until it is closed.
+// TestAcceptErrorsEndNoHotRestart checks that the restart socket goes on accepting after a temporary accept error, until it
+// is closed. A socket that stopped would leave the process without hot restart.
 func TestAcceptErrorsEndNoHotRestart(t *testing.T) {
 	failing := &failingAcceptor{}
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
@@ -27,6 +28,6 @@
 	}
 	(&restartSocket{}).accept(failing)
 	if len(failing.errors) > 0 {
-		t.Errorf("accepting has ended with %d errors to come", len(failing.errors))
+		t.Errorf("accept returned with %d errors left, want 0", len(failing.errors))
 	}
 }
--- a/internal/hotrestart/descriptor.go
+++ b/internal/hotrestart/descriptor.go
@@ -8,15 +8,15 @@
 	"syscall"
 )
 
-// maxControlBytes is room for the control message of one descriptor, and more.
+// maxControlBytes is the size of the buffer for control messages, larger than the control message of one descriptor.
 const maxControlBytes = 256
 
 var (
-	errNoListener  = errors.New("no listener came with the offer")
-	errForeignUser = errors.New("process of another user")
+	errNoListener  = errors.New("offer without a listener")
+	errForeignUser = errors.New("process runs as another user")
 )
 
-// sendWithListener writes a message. The listener's descriptor goes with its first byte.
+// sendWithListener writes a message and passes the listener's descriptor with its first byte.
 func sendWithListener(conn *net.UnixConn, message []byte, listener *net.TCPListener) error {
 	raw, err := listener.SyscallConn()
 	if err != nil {
@@ -26,7 +26,7 @@
 		sent     int
 		writeErr error
 	)
-	// within Control, so that the descriptor can't be closed and reused before it is sent
+	// Control keeps the descriptor open, so that its number can't be reused before it is sent.
 	err = raw.Control(func(fd uintptr) {
 		sent, _, writeErr = conn.WriteMsgUnix(message, syscall.UnixRights(int(fd)), nil)
 	})
@@ -39,8 +39,8 @@
 	return err
 }
 
-// receiveWithListener reads the first part of a message into the buffer, and the listener that comes with it. The caller owns
-// the listener.
+// receiveWithListener reads the first part of a message into the buffer and returns its length and the listener that was
+// passed with it. The caller has to close the listener.
 func receiveWithListener(conn *net.UnixConn, buffer []byte) (n int, listener *net.TCPListener, err error) {
 	control := make([]byte, maxControlBytes)
 	n, controlLen, _, _, err := conn.ReadMsgUnix(buffer, control)
@@ -51,27 +51,28 @@
 	return n, listener, err
 }
 
-// parseListener returns the listener whose descriptor is in a control message.
+// parseListener returns the TCP listener whose descriptor is in a control message. It fails with errNoListener if the
+// control message has no such descriptor.
 func parseListener(control []byte) (*net.TCPListener, error) {
 	descriptor, err := parseDescriptor(control)
 	if err != nil {
 		return nil, err
 	}
 	file := os.NewFile(uintptr(descriptor), "listener")
-	defer func() { _ = file.Close() }() // FileListener has duplicated it
+	defer func() { _ = file.Close() }() // FileListener has duplicated the descriptor
 	listener, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("descriptor of the offer: %w", err)
+		return nil, fmt.Errorf("descriptor in offer: %w", err)
 	}
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		_ = listener.Close() // it is of no use, whatever it is
-		return nil, fmt.Errorf("descriptor of the offer: %w: a %T", errNoListener, listener)
+		_ = listener.Close() // only a TCP listener can be used
+		return nil, fmt.Errorf("descriptor in offer: %w: got a %T", errNoListener, listener)
 	}
 	return tcp, nil
 }
 
-// parseDescriptor returns the only descriptor in a control message.
+// parseDescriptor returns the descriptor in a control message. It fails with errNoListener unless there is exactly one.
 func parseDescriptor(control []byte) (int, error) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
@@ -90,7 +91,8 @@
 	return descriptors[0], nil
 }
 
-// checkPeerUser returns errForeignUser unless the process at the other end runs as this process's user.
+// checkPeerUser returns errForeignUser unless the process at the other end of the connection runs as the same user as this
+// process.
 func checkPeerUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,18 +1,19 @@
-// Package hotrestart passes the clients' listener and the endpoint list from a running process to its successor, so that no
-// connection in the listener's queue is lost while the program is replaced.
+// Package hotrestart passes the client listener and the endpoint list from a running process to its successor, so that no
+// connection in the accept queue of the listener is lost while the program is replaced.
 //
-// The two processes meet at a Unix socket in a directory that both share; its name depends on the address that clients
-// connect to. The running process (the predecessor) accepts there, the new one (the successor) connects. They exchange three
-// messages, each of one line:
+// The two processes communicate over a Unix socket in a shared directory. The name of the socket depends on the address that
+// clients connect to. The running process (the predecessor) accepts connections on the socket, and the new process (the
+// successor) connects to it. They exchange three messages of one line each:
 //
-//	successor:   hello, JSON with the protocol's version and the clients' address
-//	predecessor: offer, the same with the endpoint list; the listener's descriptor comes with its first byte
+//	successor:   hello, JSON with the protocol version and the client address
+//	predecessor: offer, a hello with the endpoint list; the descriptor of the listener is passed with its first byte
 //	successor:   "serving", once it accepts clients
 //
-// The connection then stays open for as long as both processes run. Its end is how each learns that the other has exited,
-// however that came about; the kernel closes it also for a process that was killed.
+// The connection then stays open while both processes run. Each process detects the exit of the other by the end of the
+// connection, which the kernel also closes for a process that was killed.
 //
-// Two versions of the program meet here, so that the messages must not change without a new protocol version. Keys that are
-// not known are skipped. Whatever is malformed, late, of another version, for another address or from a process of another
-// user is refused with an error, and the restart goes on without it: both processes then listen for themselves.
+// The two processes may run different versions of the program, so the messages must not change without a new protocol
+// version. Unknown keys are skipped. A message that is malformed, late, of another protocol version, for another address or
+// from a process of another user is refused with an error, and the restart continues without a hot restart: each process
+// then opens its own listener.
 package hotrestart
--- a/internal/hotrestart/helpers_test.go
+++ b/internal/hotrestart/helpers_test.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	testListen     = "10.0.0.4:6379"       // the listen address in messages, golden files among them
-	countTimeout   = 2 * time.Second       // for a change of the number of successors
-	quietPeriod   = 50 * time.Millisecond // after which something that waits is taken to wait for good
-	maxRefusalTime = 3 * messageTimeout    // to refuse an offer
-	rawTimeout     = 5 * time.Second       // for all that a raw process does
-	reopenDelay     = 50 * time.Millisecond // for a process to take the socket's name back
-	acceptTimeout     = 1 * time.Second       // for a client in the queue to be accepted
-	nullList       = "null"                // no endpoint list
+	testListen     = "10.0.0.4:6379"       // listen address in messages, including the golden files
+	countTimeout   = 2 * time.Second       // for a notification of the number of successors
+	quietPeriod    = 50 * time.Millisecond // after which a channel that is still open is taken to stay open
+	maxRefusalTime = 3 * messageTimeout    // for the successor to refuse an offer
+	rawTimeout     = 5 * time.Second       // for all reads and writes of a raw peer
+	reopenDelay    = 50 * time.Millisecond // for a predecessor to bind its socket again
+	acceptTimeout  = 1 * time.Second       // for a queued client to be accepted
+	nullList       = "null"                // offer without an endpoint list
 )
 
-// successorCounts is what a server notifies of.
+// successorCounts holds the arguments of one call of a server's notify function.
 type successorCounts struct{ holding, serving int }
 
-// closeAtEnd closes a resource at the test's end. It may be closed before.
+// closeAtEnd closes a resource at the end of the test. The test may have closed it already.
 func closeAtEnd(t *testing.T, resource io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = resource.Close() })
@@ -41,7 +41,7 @@
 	return listener
 }
 
-// openServer starts the predecessor's side. The channel receives the number of successors at each change.
+// openServer opens a server, which is closed at the end of the test. The channel receives the counts of each notification.
 func openServer(t *testing.T, dir, listen string, listener *net.TCPListener, list []byte) (*Server, <-chan successorCounts) {
 	t.Helper()
 	counts := make(chan successorCounts, 16)
@@ -55,7 +55,7 @@
 	return server, counts
 }
 
-// killServer closes the socket of a server and leaves its name, as the end of a killed process does.
+// killServer closes the socket of a server without removing its file, as the kernel does for a killed process.
 func killServer(t *testing.T, server *Server) {
 	t.Helper()
 	server.socket.mu.Lock()
@@ -65,20 +65,20 @@
 	}
 }
 
-// expectCounts waits for the next change of the number of successors.
+// expectCounts waits for the next notification and checks its counts.
 func expectCounts(t *testing.T, counts <-chan successorCounts, want successorCounts) {
 	t.Helper()
 	select {
 	case got := <-counts:
 		if got != want {
-			t.Errorf("notified of %+v, want %+v", got, want)
+			t.Errorf("notification with %+v, want %+v", got, want)
 		}
 	case <-time.After(countTimeout):
-		t.Errorf("not notified, want %+v", want)
+		t.Errorf("no notification, want %+v", want)
 	}
 }
 
-// takeOver takes over from the process that serves testListen. The listener is closed at the test's end.
+// takeOver takes over from the predecessor that serves testListen. The listener is closed at the end of the test.
 func takeOver(t *testing.T, dir string) *Predecessor {
 	t.Helper()
 	predecessor, err := TakeOver(dir, testListen)
@@ -89,7 +89,7 @@
 	return predecessor
 }
 
-// waitInBackground waits for the predecessor's exit. The channel is closed then.
+// waitInBackground returns a channel that is closed when WaitForExit returns.
 func waitInBackground(predecessor *Predecessor) <-chan struct{} {
 	exited := make(chan struct{})
 	go func() {
@@ -99,12 +99,12 @@
 	return exited
 }
 
-// expectStillWaiting checks that a channel is not closed soon.
+// expectStillWaiting checks that exited is not closed within quietPeriod.
 func expectStillWaiting(t *testing.T, exited <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-exited:
-		t.Error("the predecessor's exit is reported before it")
+		t.Error("WaitForExit returned before the predecessor exited")
 	case <-time.After(quietPeriod):
 	}
 }
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -9,32 +9,32 @@
 
 const (
 	protocolVersion = 1
-	messageTimeout  = 500 * time.Millisecond // for the other process's next message
+	messageTimeout  = 500 * time.Millisecond // for the next message from the other process
 	maxHelloBytes   = 4 << 10
-	maxOfferBytes   = 1 << 20 // beyond which no further part of it is read
+	maxOfferBytes   = 1 << 20 // length of an incomplete offer above which reading stops
 	servingMessage  = "serving\n"
-	noList          = "null" // in the offer's JSON
+	noList          = "null" // JSON value of an offer without an endpoint list
 )
 
 var (
-	// errMismatch reports a message of another version of the protocol or for another address.
+	// errMismatch reports a message of another protocol version or for another listen address.
 	errMismatch = errors.New("protocol version or listen address does not match")
-	// errTooLong reports an offer whose line does not end in time.
+	// errTooLong reports an offer whose line is longer than maxOfferBytes.
 	errTooLong = errors.New("message is too long")
 )
 
-// hello is the first message, from the successor.
+// hello is the first message, sent by the successor.
 type hello struct {
 	Version int    `json:"woodproxy_handover"`
-	Listen  string `json:"listen"` // the address that clients connect to
+	Listen  string `json:"listen"` // address that clients connect to
 }
 
-// newHello returns the message of this version of the protocol.
+// newHello returns the hello for the given listen address in this version of the protocol.
 func newHello(listen string) hello {
 	return hello{Version: protocolVersion, Listen: listen}
 }
 
-// check returns errMismatch unless the message is of this version and for the given address.
+// check returns errMismatch unless the message is of this protocol version and for the given listen address.
 func (h hello) check(listen string) error {
 	if h != newHello(listen) {
 		return fmt.Errorf("%w: version %d for %s", errMismatch, h.Version, h.Listen)
@@ -42,13 +42,13 @@
 	return nil
 }
 
-// offer is the predecessor's answer. The listener's descriptor comes with it.
+// offer is the reply of the predecessor to a hello. The descriptor of the listener is passed with it.
 type offer struct {
 	hello
-	EndpointList json.RawMessage `json:"list"` // in the form of the discovery service; null: none
+	EndpointList json.RawMessage `json:"list"` // in the JSON form of the discovery service; null if there is none
 }
 
-// encodeOffer returns the offer as a line. A nil list is sent as null.
+// encodeOffer returns the line of an offer with the given endpoint list. A nil list is encoded as null.
 func encodeOffer(listen string, list []byte) ([]byte, error) {
 	line, err := json.Marshal(offer{hello: newHello(listen), EndpointList: list})
 	if err != nil {
@@ -57,7 +57,8 @@
 	return append(line, '\n'), nil
 }
 
-// decodeOffer returns the list of an offer that has to be for the given address, nil where it has none.
+// decodeOffer returns the endpoint list of an offer, or nil if the offer has none. It fails if the offer is malformed, and
+// with errMismatch if it is of another protocol version or for another listen address.
 func decodeOffer(line []byte, listen string) (list []byte, err error) {
 	var o offer
 	if err := json.Unmarshal(line, &o); err != nil {
@@ -72,7 +73,8 @@
 	return o.EndpointList, nil
 }
 
-// decodeHello checks a hello that has to be for the given address.
+// decodeHello returns an error if a hello is malformed, and errMismatch if it is of another protocol version or for another
+// listen address.
 func decodeHello(line []byte, listen string) error {
 	var h hello
 	if err := json.Unmarshal(line, &h); err != nil {
--- a/internal/hotrestart/message_golden_test.go
+++ b/internal/hotrestart/message_golden_test.go
@@ -16,13 +16,13 @@
 	"woodproxy/internal/wire"
 )
 
-// Two versions of the program meet during a hot restart, so that what goes over the socket has to stay as it is. In these
-// tests one side is the program and the other a raw process that speaks the bytes of the golden files.
+// Two versions of the program communicate during a hot restart, so the bytes on the socket must not change. In these tests
+// one side is the code of the package and the other is a raw peer, which sends the bytes of the golden files.
 
-// goldenSocket is the name of the socket for testListen.
+// goldenSocket is the file name of the socket for testListen.
 const goldenSocket = "woodproxy-bf32b290594ad81b.sock"
 
-// goldenList is an endpoint list as a predecessor sends it.
+// goldenList returns an endpoint list as the predecessor sends it.
 func goldenList() []byte {
 	return wire.AppendEndpointList(nil, []wire.Endpoint{
 		{Name: "cache-1", Address: "10.0.1.1:7001", Zone: "north", Kind: "std", Cell: 3, Ready: true, Weight: 1.25, StartedAtUnixMilli: 1700000000123},
@@ -31,7 +31,8 @@
 	})
 }
 
-// The socket's name depends on the listen address alone, and only the process's user may connect.
+// TestSocketNames pins the names and the mode of the sockets. The name must depend on the listen address alone, and only the
+// user of the process may connect.
 func TestSocketNames(t *testing.T) {
 	var names strings.Builder
 	for _, listen := range []string{testListen, ":6379", "[::1]:6379", "127.0.0.1:26379"} {
@@ -39,7 +40,7 @@
 		openServer(t, dir, listen, tcpListener(t), nil)
 		entries, err := os.ReadDir(dir)
 		if err != nil || len(entries) != 1 {
-			t.Fatalf("%d files in the directory: %v", len(entries), err)
+			t.Fatalf("got %d files in the directory, want 1: %v", len(entries), err)
 		}
 		info, err := entries[0].Info()
 		if err != nil {
@@ -49,16 +50,16 @@
 	}
 	goldentest.Text(t, "socket_names.golden", names.String())
 	if line := testListen + ": " + goldenSocket + " "; !strings.HasPrefix(goldentest.Read(t, "socket_names.golden"), line) {
-		t.Errorf("the golden file does not begin with %q", line)
+		t.Errorf("golden file does not begin with %q", line)
 	}
 }
 
-// The successor speaks first, and says nothing more before it has the offer.
+// TestHelloBytes pins the hello, and checks that TakeOver fails if the predecessor closes the connection without an offer.
 func TestHelloBytes(t *testing.T) {
 	dir := t.TempDir()
 	seen := serveRaw(listenRaw(t, dir), "", nil)
 	if _, err := TakeOver(dir, testListen); err == nil || errors.Is(err, ErrNoPredecessor) {
-		t.Errorf("a predecessor that closes the connection: %v", err)
+		t.Errorf("TakeOver from a predecessor that closes the connection: error %v, want one other than ErrNoPredecessor", err)
 	}
 	predecessor := <-seen
 	if predecessor.err != nil {
@@ -67,7 +68,7 @@
 	goldentest.Text(t, "hello.golden", predecessor.hello)
 }
 
-// The predecessor answers a hello with one line, which carries the listener, and writes nothing more.
+// TestOfferBytes pins the offer: one line that is passed with the listener. The predecessor writes nothing after it.
 func TestOfferBytes(t *testing.T) {
 	for _, c := range []struct {
 		name, golden string
@@ -84,7 +85,7 @@
 			offer, received := receiveRawOffer(t, conn)
 			goldentest.Text(t, c.golden, offer)
 			if received.Addr().String() != listener.Addr().String() {
-				t.Errorf("a listener at %v, want %v", received.Addr(), listener.Addr())
+				t.Errorf("listener at %v, want %v", received.Addr(), listener.Addr())
 			}
 			expectCounts(t, counts, successorCounts{holding: 1})
 			closeWrite(t, conn)
@@ -96,7 +97,8 @@
 	}
 }
 
-// The successor takes list and listener from the offer, says once that it serves, and writes nothing more.
+// TestServingBytes checks that the successor takes the listener and the endpoint list from the golden offer, and pins the
+// serving message. The successor writes nothing after it.
 func TestServingBytes(t *testing.T) {
 	for _, c := range []struct {
 		name, golden string
@@ -110,10 +112,10 @@
 			seen := serveRaw(listenRaw(t, dir), goldentest.Read(t, c.golden), listener)
 			predecessor := takeOver(t, dir)
 			if predecessor.Listener.Addr().String() != listener.Addr().String() {
-				t.Errorf("a listener at %v, want %v", predecessor.Listener.Addr(), listener.Addr())
+				t.Errorf("listener at %v, want %v", predecessor.Listener.Addr(), listener.Addr())
 			}
 			if list := unescapeHTML(predecessor.EndpointList); !bytes.Equal(list, c.list) || (predecessor.EndpointList == nil) != (c.list == nil) {
-				t.Errorf("list %q, want %q", list, c.list)
+				t.Errorf("endpoint list %q, want %q", list, c.list)
 			}
 			if err := predecessor.NotifyServing(); err != nil {
 				t.Error(err)
@@ -131,7 +133,7 @@
 	}
 }
 
-// unescapeHTML reverses the escapes that the list has got as a part of the offer's JSON.
+// unescapeHTML reverses the HTML escapes that json.Marshal adds to the endpoint list in an offer.
 func unescapeHTML(list []byte) []byte {
 	for _, c := range []struct{ escape, text string }{{`\u003c`, "<"}, {`\u003e`, ">"}, {`\u0026`, "&"}} {
 		list = bytes.ReplaceAll(list, []byte(c.escape), []byte(c.text))
@@ -139,7 +141,8 @@
 	return list
 }
 
-// The predecessor understands the golden message that the successor serves, and its exit by the connection's end.
+// TestPredecessorReadsServingAndExit checks that the predecessor accepts the golden serving message, and detects the exit of
+// the successor by the end of the connection.
 func TestPredecessorReadsServingAndExit(t *testing.T) {
 	dir := t.TempDir()
 	_, counts := openServer(t, dir, testListen, tcpListener(t), []byte(nullList))
@@ -156,7 +159,8 @@
 	expectCounts(t, counts, successorCounts{})
 }
 
-// The successor waits for the predecessor's exit, which it learns by the connection's end.
+// TestWaitForExitReturnsWhenConnectionEnds checks that WaitForExit blocks while the connection is open, and that the
+// successor detects the exit of the predecessor by the end of the connection.
 func TestWaitForExitReturnsWhenConnectionEnds(t *testing.T) {
 	dir, listener := t.TempDir(), tcpListener(t)
 	socket := listenRaw(t, dir)
@@ -185,16 +189,16 @@
 	select {
 	case <-exited:
 	case <-time.After(rawTimeout):
-		t.Error("the predecessor's exit is not reported")
+		t.Error("WaitForExit did not return after the connection ended")
 	}
 }
 
-// addUnknownKey adds a key that a later version of the program may have.
+// addUnknownKey adds a key to a message, as a later version of the program may do.
 func addUnknownKey(line string) string {
 	return strings.Replace(line, "{", `{"later":{"key":[1]},`, 1)
 }
 
-// Keys that a later version may add to a message are skipped on both sides.
+// TestUnknownKeysAreSkipped checks that both sides skip keys that a later version of the program may add to a message.
 func TestUnknownKeysAreSkipped(t *testing.T) {
 	t.Run("hello", func(t *testing.T) {
 		dir := t.TempDir()
@@ -202,7 +206,7 @@
 		conn := dialRaw(t, dir)
 		send(t, conn, addUnknownKey(goldentest.Read(t, "hello.golden")))
 		if offer, _ := receiveRawOffer(t, conn); offer != goldentest.Read(t, "offer_list.golden") {
-			t.Errorf("answered with %q", offer)
+			t.Errorf("offer %q, want the golden offer", offer)
 		}
 	})
 	t.Run("offer", func(t *testing.T) {
@@ -215,16 +219,17 @@
 	})
 }
 
-// replaceOnce replaces a part that has to be there.
+// replaceOnce replaces the only occurrence of from in text. It fails the test unless there is exactly one.
 func replaceOnce(t *testing.T, text, from, to string) string {
 	t.Helper()
 	if strings.Count(text, from) != 1 {
-		t.Fatalf("%q is not once in %q", from, text)
+		t.Fatalf("%q does not occur exactly once in %q", from, text)
 	}
 	return strings.Replace(text, from, to, 1)
 }
 
-// A hello of another version or for another address ends the connection without a byte.
+// TestMismatchedHelloIsRefused checks that the predecessor closes the connection without a reply if the hello is of another
+// protocol version or for another listen address.
 func TestMismatchedHelloIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	openServer(t, dir, testListen, tcpListener(t), []byte(nullList))
@@ -240,15 +245,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			conn := dialRaw(t, dir)
 			send(t, conn, replaceOnce(t, goldentest.Read(t, "hello.golden"), c.from, c.to))
-			if answer, err := io.ReadAll(conn); err != nil || len(answer) > 0 {
-				t.Errorf("answered with %q: %v", answer, err)
+			if reply, err := io.ReadAll(conn); err != nil || len(reply) > 0 {
+				t.Errorf("reply %q, want none: %v", reply, err)
 			}
 		})
 	}
 }
 
-// An offer of another version or for another address is an error that names both, and not the error that there is no
-// predecessor.
+// TestMismatchedOfferIsRefused checks that TakeOver refuses an offer of another protocol version or for another listen
+// address. The error must name the version and the address, and must not be ErrNoPredecessor.
 func TestMismatchedOfferIsRefused(t *testing.T) {
 	for _, c := range []struct{ name, from, to, version, listen string }{
 		{"later version", `"woodproxy_handover":1`, `"woodproxy_handover":2`, "version 2", testListen},
@@ -261,10 +266,10 @@
 			seen := serveRaw(listenRaw(t, dir), offer, tcpListener(t))
 			_, err := TakeOver(dir, testListen)
 			if err == nil || errors.Is(err, ErrNoPredecessor) || !strings.Contains(err.Error(), c.version) || !strings.Contains(err.Error(), c.listen) {
-				t.Errorf("error %v, want one of %s for %s", err, c.version, c.listen)
+				t.Errorf("TakeOver: error %v, want one that names %s for %s", err, c.version, c.listen)
 			}
 			if raw := <-seen; raw.err != nil || raw.rest != "" {
-				t.Errorf("the successor goes on with %q: %v", raw.rest, raw.err)
+				t.Errorf("successor sent %q after the offer, want nothing: %v", raw.rest, raw.err)
 			}
 		})
 	}
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -12,9 +12,10 @@
 	"time"
 )
 
-// Both processes hold one listener: a client that waits in its queue when the predecessor closes it is accepted by the successor.
+// TestQueuedClientIsAcceptedBySuccessor checks that both processes share one listener: the successor accepts a client that
+// is in the accept queue when the predecessor closes its listener.
 func TestQueuedClientIsAcceptedBySuccessor(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120)) // longer than a socket's name may be
+	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120)) // longer than the path of a Unix socket may be
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +29,7 @@
 	closeAtEnd(t, client)
 	predecessor := takeOver(t, dir)
 	if string(predecessor.EndpointList) != list {
-		t.Errorf("a list of %d bytes, want the predecessor's of %d", len(predecessor.EndpointList), len(list))
+		t.Errorf("endpoint list of %d bytes, want the predecessor's of %d", len(predecessor.EndpointList), len(list))
 	}
 	expectCounts(t, counts, successorCounts{holding: 1})
 	if err := predecessor.NotifyServing(); err != nil {
@@ -41,15 +42,15 @@
 	setDeadline(t, predecessor.Listener, acceptTimeout)
 	accepted, err := predecessor.Listener.Accept()
 	if err != nil || accepted.RemoteAddr().String() != client.LocalAddr().String() {
-		t.Fatal("the client in the queue is not accepted", err)
+		t.Fatal("queued client was not accepted:", err)
 	}
 	closeAtEnd(t, accepted)
 	expectStillWaiting(t, waitInBackground(predecessor))
 	server.Close()
 }
 
-// A successor that takes the listener and exits without serving leaves the predecessor as it was, so that it can be replaced
-// again.
+// TestPredecessorIsReplaceableAfterSuccessorExits checks that a successor can take over after an earlier one took the
+// listener and the socket's name and exited without serving: the predecessor has to bind the socket again.
 func TestPredecessorIsReplaceableAfterSuccessorExits(t *testing.T) {
 	dir := t.TempDir()
 	listener := tcpListener(t)
@@ -57,10 +58,10 @@
 	for range 2 {
 		predecessor := takeOver(t, dir)
 		if predecessor.EndpointList != nil {
-			t.Errorf("list %q, want none", predecessor.EndpointList)
+			t.Errorf("endpoint list %q, want none", predecessor.EndpointList)
 		}
 		expectCounts(t, counts, successorCounts{holding: 1})
-		successor, _ := openServer(t, dir, testListen, predecessor.Listener, []byte(nullList)) // takes the socket's name over
+		successor, _ := openServer(t, dir, testListen, predecessor.Listener, []byte(nullList)) // takes over the socket's name
 		killServer(t, successor)
 		predecessor.Disconnect()
 		if err := predecessor.Listener.Close(); err != nil {
@@ -71,7 +72,8 @@
 	}
 }
 
-// There is no predecessor where nobody listens or only the socket's name is left of a killed process.
+// TestTakeOverWithoutPredecessorFails checks that TakeOver returns ErrNoPredecessor if there is no socket, or only the file
+// of the socket of a killed process.
 func TestTakeOverWithoutPredecessorFails(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -91,13 +93,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := TakeOver(c.dir(t), testListen); !errors.Is(err, ErrNoPredecessor) {
-				t.Errorf("error %v, want %v", err, ErrNoPredecessor)
+				t.Errorf("TakeOver: error %v, want %v", err, ErrNoPredecessor)
 			}
 		})
 	}
 }
 
-// A malformed, late or foreign hello ends the connection soon and without an answer.
+// TestPredecessorRefusesHello checks that the predecessor closes the connection in time and without a reply if the hello is
+// malformed, late, of another protocol version or for another listen address.
 func TestPredecessorRefusesHello(t *testing.T) {
 	dir := t.TempDir()
 	openServer(t, dir, testListen, tcpListener(t), []byte(nullList))
@@ -110,28 +113,29 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			conn := dialRaw(t, dir)
-			_, _ = io.WriteString(conn, c.hello) // may be refused before its end
+			_, _ = io.WriteString(conn, c.hello) // fails if the hello is refused before its end
 			setDeadline(t, conn, countTimeout)
 			n, err := conn.Read(make([]byte, 9))
 			if n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("answered with %d bytes: %v", n, err)
+				t.Errorf("reply of %d bytes, want a closed connection: %v", n, err)
 			}
 		})
 	}
 }
 
-// A malformed, late or foreign offer is an error soon, and not the error that there is no predecessor.
+// TestSuccessorRefusesOffer checks that TakeOver fails in time, and with an error other than ErrNoPredecessor, if the offer
+// is malformed, late, of another protocol version or for another listen address.
 func TestSuccessorRefusesOffer(t *testing.T) {
 	passed := tcpListener(t)
 	offerOf := func(text string) func(*net.UnixConn) error {
 		return func(conn *net.UnixConn) error { return sendWithListener(conn, []byte(text), passed) }
 	}
-	thenStall := func(answer func(*net.UnixConn) error) func(*net.UnixConn) error {
+	thenStall := func(reply func(*net.UnixConn) error) func(*net.UnixConn) error {
 		return func(conn *net.UnixConn) error {
-			if err := answer(conn); err != nil {
+			if err := reply(conn); err != nil {
 				return err
 			}
-			_, err := io.ReadAll(conn) // until the successor gives up
+			_, err := io.ReadAll(conn) // until the successor closes the connection
 			return err
 		}
 	}
@@ -140,62 +144,62 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	torn := string(good[:9])
+	truncated := string(good[:9])
 	for _, c := range []struct {
-		name   string
-		answer func(*net.UnixConn) error
-		want   error // nil: any
+		name  string
+		reply func(*net.UnixConn) error
+		want  error // nil for any error other than ErrNoPredecessor
 	}{
-		{name: "silent", answer: thenStall(nothing), want: os.ErrDeadlineExceeded},
-		{name: "closed", answer: nothing, want: io.EOF},
-		{name: "no listener", answer: func(conn *net.UnixConn) error {
+		{name: "silent", reply: thenStall(nothing), want: os.ErrDeadlineExceeded},
+		{name: "closed", reply: nothing, want: io.EOF},
+		{name: "no listener", reply: func(conn *net.UnixConn) error {
 			_, err := conn.Write(append(good, '\n'))
 			return err
 		}, want: errNoListener},
-		{name: "torn", answer: offerOf(torn), want: io.ErrUnexpectedEOF},
-		{name: "stalls", answer: thenStall(offerOf(torn)), want: os.ErrDeadlineExceeded},
-		{name: "garbled", answer: offerOf("{]\n")},
-		{name: "another address", answer: offerOf(`{"woodproxy_handover":1,"listen":"10.0.0.5:6379"}` + "\n"), want: errMismatch},
-		{name: "another version", answer: offerOf(`{"woodproxy_handover":7,"listen":"` + testListen + `"}` + "\n"), want: errMismatch},
-		{name: "too long", answer: func(conn *net.UnixConn) error {
-			_ = sendWithListener(conn, make([]byte, 2*maxOfferBytes), passed) // refused before its end
+		{name: "truncated", reply: offerOf(truncated), want: io.ErrUnexpectedEOF},
+		{name: "stalls", reply: thenStall(offerOf(truncated)), want: os.ErrDeadlineExceeded},
+		{name: "garbled", reply: offerOf("{]\n")},
+		{name: "another address", reply: offerOf(`{"woodproxy_handover":1,"listen":"10.0.0.5:6379"}` + "\n"), want: errMismatch},
+		{name: "another version", reply: offerOf(`{"woodproxy_handover":7,"listen":"` + testListen + `"}` + "\n"), want: errMismatch},
+		{name: "too long", reply: func(conn *net.UnixConn) error {
+			_ = sendWithListener(conn, make([]byte, 2*maxOfferBytes), passed) // fails because the offer is refused before its end
 			return nil
 		}, want: errTooLong},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			expectRefused(t, c.answer, c.want)
+			expectRefused(t, c.reply, c.want)
 		})
 	}
 }
 
-// expectRefused takes over from a raw predecessor that answers the hello in the given way and then closes the connection. The error
-// has to be the wanted one, if any.
-func expectRefused(t *testing.T, answer func(*net.UnixConn) error, want error) {
+// expectRefused checks that TakeOver fails within maxRefusalTime if a raw predecessor calls reply after the hello and then
+// closes the connection. The error must not be ErrNoPredecessor, and must wrap want if that is not nil.
+func expectRefused(t *testing.T, reply func(*net.UnixConn) error, want error) {
 	t.Helper()
 	dir := t.TempDir()
 	socket := listenRaw(t, dir)
-	answered := make(chan error, 1)
+	replied := make(chan error, 1)
 	go func() {
 		conn, _, _, err := acceptRaw(socket)
 		if err != nil {
-			answered <- err
+			replied <- err
 			return
 		}
-		defer func() { _ = conn.Close() }() // the end of the answer
-		answered <- answer(conn)
+		defer func() { _ = conn.Close() }() // ends the reply
+		replied <- reply(conn)
 	}()
 	start := time.Now()
 	predecessor, err := TakeOver(dir, testListen)
 	if err == nil || errors.Is(err, ErrNoPredecessor) {
-		t.Errorf("took over from %+v: %v", predecessor, err)
+		t.Errorf("TakeOver: %+v, error %v, want one other than ErrNoPredecessor", predecessor, err)
 	}
 	if want != nil && !errors.Is(err, want) {
-		t.Errorf("error %v, want %v", err, want)
+		t.Errorf("TakeOver: error %v, want %v", err, want)
 	}
 	if elapsed := time.Since(start); elapsed > maxRefusalTime {
 		t.Errorf("refused after %v, want at most %v", elapsed, maxRefusalTime)
 	}
-	if err := <-answered; err != nil {
+	if err := <-replied; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/hotrestart/rawpeer_test.go
+++ b/internal/hotrestart/rawpeer_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// In tests with a raw process one side is the program, and the other speaks given bytes by means of its own.
+// A raw peer takes the place of one of the two processes. It exchanges given bytes without the message code of the package.
 
-// setDeadline bounds the time of all further reads and writes.
+// setDeadline limits the time of all further reads, writes and accepts on conn.
 func setDeadline(t *testing.T, conn interface{ SetDeadline(time.Time) error }, timeout time.Duration) {
 	t.Helper()
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-// send writes a text.
+// send writes a text to the connection.
 func send(t *testing.T, conn *net.UnixConn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// closeWrite ends what the raw process sends.
+// closeWrite closes the sending side of a raw peer's connection.
 func closeWrite(t *testing.T, conn *net.UnixConn) {
 	t.Helper()
 	if err := conn.CloseWrite(); err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// dialRaw connects a raw successor to the predecessor's socket.
+// dialRaw connects a raw successor to the socket for testListen in dir.
 func dialRaw(t *testing.T, dir string) *net.UnixConn {
 	t.Helper()
 	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: filepath.Join(dir, goldenSocket), Net: "unix"})
@@ -50,7 +50,7 @@
 	return conn
 }
 
-// listenRaw opens the socket of a raw predecessor.
+// listenRaw opens the socket for testListen in dir for a raw predecessor.
 func listenRaw(t *testing.T, dir string) *net.UnixListener {
 	t.Helper()
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, goldenSocket), Net: "unix"})
@@ -62,7 +62,7 @@
 	return listener
 }
 
-// receiveRawOffer reads one line and the listener that came with its first byte.
+// receiveRawOffer reads one line and returns it with the listener that was passed with its first byte.
 func receiveRawOffer(t *testing.T, conn *net.UnixConn) (string, net.Listener) {
 	t.Helper()
 	text, control := make([]byte, 64<<10), make([]byte, 256)
@@ -95,18 +95,18 @@
 	return string(offer), listener
 }
 
-// sendRawOffer writes a line with a listener at its first byte, as the predecessor does.
+// sendRawOffer writes a line and passes a listener with its first byte, as the predecessor does.
 func sendRawOffer(conn *net.UnixConn, line string, listener *net.TCPListener) error {
 	file, err := listener.File()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // a duplicate
+	defer func() { _ = file.Close() }() // a duplicate of the listener's descriptor
 	_, _, err = conn.WriteMsgUnix([]byte(line), syscall.UnixRights(int(file.Fd())), nil)
 	return err
 }
 
-// acceptRaw accepts one successor and reads its hello, up to the end of its line. The caller closes the connection.
+// acceptRaw accepts one successor and reads the line of its hello. The caller has to close the connection.
 func acceptRaw(listener *net.UnixListener) (conn *net.UnixConn, in *bufio.Reader, hello string, err error) {
 	conn, err = listener.AcceptUnix()
 	if err != nil {
@@ -117,21 +117,21 @@
 		hello, err = in.ReadString('\n')
 	}
 	if err != nil {
-		_ = conn.Close() // the error is told
+		_ = conn.Close() // the first error is returned
 		return nil, nil, "", err
 	}
 	return conn, in, hello, nil
 }
 
-// rawPredecessorResult is what a raw predecessor saw of one successor.
+// rawPredecessorResult is the data that a raw predecessor received from one successor.
 type rawPredecessorResult struct {
-	hello string // up to the end of its line
-	rest  string // until the connection's end
+	hello string // first line, with its line break
+	rest  string // data after the hello, up to the end of the connection
 	err   error
 }
 
-// serveRaw accepts one successor, answers its hello with the offer and reads on until the connection ends. Without an offer it
-// closes the connection.
+// serveRaw accepts one successor, replies to its hello with the offer and the listener passed, and reads until the
+// connection ends. If the offer is empty, it closes the connection after the hello. The channel receives the result.
 func serveRaw(listener *net.UnixListener, offer string, passed *net.TCPListener) <-chan rawPredecessorResult {
 	seen := make(chan rawPredecessorResult, 1)
 	go func() {
@@ -142,7 +142,7 @@
 			result.err = err
 			return
 		}
-		defer func() { _ = conn.Close() }() // all is read
+		defer func() { _ = conn.Close() }() // all data was read, or the error is in the result
 		result.hello = hello
 		if offer == "" {
 			return
--- a/internal/hotrestart/server.go
+++ b/internal/hotrestart/server.go
@@ -10,35 +10,40 @@
 	"go.uber.org/zap"
 )
 
-// Server passes this process's listener and list to its successors. All of its methods may be called from any goroutine.
+// Server passes the listener and the endpoint list of this process to its successors. All methods may be called from any
+// goroutine.
 //
-// Each successor's connection is served by a goroutine that lives until the successor exits or this process does. [Server.Close]
-// does not end it, since the end of the connection tells the successor that this process has exited.
+// The connection of each successor is served by a goroutine that runs until the successor or this process exits.
+// [Server.Close] does not end the goroutine, since the successor takes the end of the connection as the exit of this
+// process.
 type Server struct {
-	listen     string
-	listener   *net.TCPListener
-	endpointList       func() []byte
-	log        *zap.Logger
-	socket     restartSocket
-	successors successors
+	listen       string
+	listener     *net.TCPListener
+	endpointList func() []byte
+	log          *zap.Logger
+	socket       restartSocket
+	successors   successors
 }
 
-// NewServer returns the server for successors, which accepts none before [Server.Open]. The directory is where processes meet, listen
-// is the address that clients connect to and ln their listener. list returns the endpoint list as JSON, "null" or nil where
-// there is none; it is called for each successor. notify is called at each change of the number of successors, with how many
-// hold the listener and how many of those serve; calls don't overlap, and it must not call the server's methods.
+// NewServer returns a server that accepts successors once [Server.Open] is called. The directory dir is the one that the
+// processes share, listen is the address that clients connect to, and ln is the client listener.
+//
+// The server calls list for each successor; list returns the endpoint list as JSON, or "null" or nil if there is none. It
+// calls notify at each change of the number of successors, with the number of processes that hold the listener and the
+// number of those that accept clients. Calls of notify don't overlap. notify must not call methods of the server.
 func NewServer(dir, listen string, ln *net.TCPListener, list func() []byte, notify func(holding, serving int), log *zap.Logger) *Server {
 	s := &Server{listen: listen, listener: ln, endpointList: list, log: log, successors: successors{notify: notify}}
 	s.socket = restartSocket{dir: dir, listen: listen, handle: s.serveSuccessor}
 	return s
 }
 
-// Open accepts successors from now on. It takes the socket's name over from the process's own predecessor.
+// Open starts accepting successors. It takes over the socket's name from the predecessor of this process, if there is one.
+// It fails if the socket can't be bound or the server is closed.
 func (s *Server) Open() error { return s.socket.bind() }
 
-// serveSuccessor follows one successor from its hello until it exits.
+// serveSuccessor serves the connection of one successor from its hello until the successor exits.
 func (s *Server) serveSuccessor(conn *net.UnixConn) {
-	defer func() { _ = conn.Close() }() // all is said, or the error is logged
+	defer func() { _ = conn.Close() }() // all messages were exchanged, or the error is logged
 	if err := s.sendOffer(conn); err != nil {
 		s.log.Warn("listener not passed to successor", zap.Error(err))
 		return
@@ -56,8 +61,8 @@
 	s.reopen()
 }
 
-// reopen takes back the socket's name, which a successor that has gone may have taken over. A process that is stopping leaves
-// it.
+// reopen binds the socket again after a successor has exited, since the successor may have taken over the socket's name. It
+// does nothing if the server is closed.
 func (s *Server) reopen() {
 	err := s.socket.bind()
 	if errors.Is(err, errSocketClosed) {
@@ -65,11 +70,11 @@
 	}
 	s.log.Warn("successor disconnected")
 	if err != nil {
-		s.log.Warn("cannot accept a successor", zap.Error(err))
+		s.log.Warn("hot-restart socket not reopened; no successor can be accepted", zap.Error(err))
 	}
 }
 
-// sendOffer reads a successor's hello and answers it.
+// sendOffer reads the hello of a successor and replies with the offer.
 func (s *Server) sendOffer(conn *net.UnixConn) error {
 	if err := checkPeerUser(conn); err != nil {
 		return err
@@ -84,17 +89,18 @@
 	if err := decodeHello(line, s.listen); err != nil {
 		return err
 	}
-	answer, err := encodeOffer(s.listen, s.endpointList())
+	message, err := encodeOffer(s.listen, s.endpointList())
 	if err != nil {
 		return err
 	}
-	if err := sendWithListener(conn, answer, s.listener); err != nil {
+	if err := sendWithListener(conn, message, s.listener); err != nil {
 		return fmt.Errorf("send offer: %w", err)
 	}
 	return nil
 }
 
-// awaitServing reports whether the successor says that it serves, however long that takes, before its connection ends.
+// awaitServing waits without a deadline for the serving message of a successor. It returns false if the connection ends
+// before the message or another message arrives.
 func awaitServing(conn *net.UnixConn) bool {
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return false
@@ -103,11 +109,11 @@
 	return err == nil && message == servingMessage
 }
 
-// SuccessorCount returns how many successors hold the listener too.
+// SuccessorCount returns the number of connected successors that hold the listener.
 func (s *Server) SuccessorCount() int { return s.successors.count() }
 
-// Close accepts no successor any more. The socket's name stays where there is a successor, which has taken it over. Close may
-// be called again.
+// Close stops accepting successors. It removes the socket's file unless there is a successor, which has taken over the
+// socket's name. Close may be called more than once.
 func (s *Server) Close() {
 	s.socket.close(s.successors.count() == 0)
 }
--- a/internal/hotrestart/successors.go
+++ b/internal/hotrestart/successors.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// successors counts the processes that took the listener from this one and are still connected.
+// successors counts the connected processes that have taken the listener from this one.
 type successors struct {
-	notify func(holding, serving int) // at each change, one at a time and in the order of the changes
+	notify func(holding, serving int) // called at each change, one call at a time in the order of the changes
 
 	mu      sync.Mutex
-	holding int // processes that hold the listener too
-	serving int // those of them that accept clients
+	holding int // connected processes that hold the listener
+	serving int // processes among them that accept clients
 }
 
-// add changes both counts and notifies of them.
+// add adds to both counts and calls notify with the sums.
 func (s *successors) add(holding, serving int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,7 +20,7 @@
 	s.notify(s.holding, s.serving)
 }
 
-// count returns how many processes hold the listener too.
+// count returns the number of connected processes that hold the listener.
 func (s *successors) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
