--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -19,7 +19,7 @@
 var (
 	// errMismatch reports a message of another protocol version or for another listen address.
 	errMismatch = errors.New("protocol version or listen address does not match")
-	// errTooLong reports an offer whose line is longer than maxOfferBytes.
+	// errTooLong reports an offer whose line has not ended after maxOfferBytes.
 	errTooLong = errors.New("message is too long")
 )
 
--- a/internal/hotrestart/message_golden_test.go
+++ b/internal/hotrestart/message_golden_test.go
@@ -168,17 +168,17 @@
 		conn *net.UnixConn
 		err  error
 	}
-	answered := make(chan accepted, 1)
+	replied := make(chan accepted, 1)
 	offer := goldentest.Read(t, "offer_null_list.golden")
 	go func() {
 		conn, _, _, err := acceptRaw(socket)
 		if err == nil {
 			err = sendRawOffer(conn, offer, listener)
 		}
-		answered <- accepted{conn, err}
+		replied <- accepted{conn, err}
 	}()
 	exited := waitInBackground(takeOver(t, dir))
-	raw := <-answered
+	raw := <-replied
 	if raw.err != nil {
 		t.Fatal(raw.err)
 	}
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -100,7 +100,7 @@
 }
 
 // receiveEndpointList reads the rest of an offer whose first n bytes are in the buffer, and returns its endpoint list, or
-// nil if it has none. It fails with errTooLong if the offer is longer than maxOfferBytes.
+// nil if it has none. It fails with errTooLong if the line has not ended after maxOfferBytes.
 func receiveEndpointList(conn *net.UnixConn, buffer []byte, n int, listen string) ([]byte, error) {
 	line := bytes.Clone(buffer[:n])
 	for !bytes.HasSuffix(line, []byte("\n")) {
@@ -128,7 +128,7 @@
 // WaitForExit blocks until the predecessor exits or [Predecessor.Disconnect] is called, and closes the connection.
 func (p *Predecessor) WaitForExit() {
 	waitForEnd(p.conn)
-	_ = p.conn.Close() // nothing was written that a failed close could lose
+	_ = p.conn.Close() // the other process has exited, so a failed close loses nothing
 }
 
 // Disconnect closes the connection. The predecessor goes on as if this process had exited.
