--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -11,20 +11,20 @@
 
 var (
 	errNegativeCacheOff  = errors.New("no file of missing keys is named")
-	errNegativeCacheBusy = errors.New("too busy to take it; ask again")
+	errNegativeCacheBusy = errors.New("too busy to clear the negative cache; try again")
 )
 
-// adminService answers the calls of the admin API (admin.Service). Its methods may be called from any goroutine.
+// adminService handles the calls of the admin API (admin.Service). Its methods may be called from any goroutine.
 type adminService struct {
 	clientListener *proxy.Listener
 	gossip         *gossipAdapter
 	counters       *proxy.Counters
-	recovery       *recoveryTracker // nil: the process goes through no stages of recovery
+	recovery       *recoveryTracker // nil: recovery is not tracked
 	planner        *migrationPlanner
 	stopping       atomic.Bool
 }
 
-// Ready tells whether this process serves clients, and why or in which state. Draining does not make it unready.
+// Ready reports whether this process serves clients, and its state in one line. A draining process is still ready.
 func (s *adminService) Ready() (ready bool, reason string) {
 	switch {
 	case s.stopping.Load():
@@ -43,25 +43,26 @@
 	return true, "ready"
 }
 
-// OutOfService starts draining clients; it tells whether that changed something.
+// OutOfService starts to drain clients. It returns false if the proxy drains already.
 func (s *adminService) OutOfService() (changed bool) { return s.clientListener.OutOfService() }
 
-// InService ends draining; it tells whether that changed something.
+// InService ends the drain. It returns false if the proxy does not drain.
 func (s *adminService) InService() (changed bool) { return s.clientListener.InService() }
 
-// PeerStatus returns the status of gossip; empty if it does not run.
+// PeerStatus returns the status of gossip; it is empty if gossip does not run.
 func (s *adminService) PeerStatus() string { return s.gossip.statusText() }
 
-// ZoneStatus returns the status of all zones; empty if they are not judged.
+// ZoneStatus returns the status of all zones; it is empty if zone health is not configured.
 func (s *adminService) ZoneStatus() string { return s.gossip.zoneHealth.statusText() }
 
-// OverrideZone applies an operator's order (in, out, hold, auto) to a zone or region, in place of the override of that
-// epoch; below zero: whichever is in force. An error says why nothing has changed.
+// OverrideZone applies an operator's override (in, out, hold, auto) to a zone or to each zone of a region. It replaces
+// the override with the given epoch, or the current override if the epoch is negative. An error states why it
+// was not applied.
 func (s *adminService) OverrideZone(name, want string, epoch int64, force bool) (string, error) {
 	return s.gossip.zoneHealth.override(name, want, epoch, force)
 }
 
-// DutyStatus returns the figures of the duties module; nil if duties are not shared.
+// DutyStatus returns the statistics of the duties module; nil if duties are not shared.
 func (s *adminService) DutyStatus() any {
 	if s.gossip.duties == nil {
 		return nil
@@ -69,7 +70,7 @@
 	return s.gossip.duties.actor.Stats()
 }
 
-// RecoveryStatus returns the figures of recovery; nil if the process goes through no stages.
+// RecoveryStatus returns the status of recovery; nil if recovery is not tracked.
 func (s *adminService) RecoveryStatus() any {
 	if s.recovery == nil {
 		return nil
@@ -77,7 +78,7 @@
 	return s.recovery.figures()
 }
 
-// NegativeCacheStatus returns the figures of the negative cache; nil if there is none.
+// NegativeCacheStatus returns the statistics of the negative cache; nil if there is no negative cache.
 func (s *adminService) NegativeCacheStatus() any {
 	if s.gossip.negativeCache == nil {
 		return nil
@@ -85,7 +86,8 @@
 	return s.gossip.negativeCache.actor.Stats()
 }
 
-// ClearNegativeCache clears the negative cache here; in other proxies its entries expire.
+// ClearNegativeCache clears the negative cache of this proxy. In the other proxies the entries stay until they expire.
+// It fails if there is no negative cache, or if its actor is too busy.
 func (s *adminService) ClearNegativeCache() error {
 	switch {
 	case s.gossip.negativeCache == nil:
@@ -96,7 +98,8 @@
 	return nil
 }
 
-// PlanMigrations plans shard migrations by an inventory in JSON; nil and no error if no rebalance file is named.
+// PlanMigrations plans shard migrations for an inventory in JSON. It returns nil and no error if no rebalance file is
+// configured.
 func (s *adminService) PlanMigrations(inventory io.Reader) (any, error) {
 	return s.planner.plan(inventory)
 }
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -24,26 +24,26 @@
 	minSockets      = 64
 )
 
-// Config is the configuration of one proxy process. Read returns one that is checked; it is not changed once Serve
-// has it, but for the gossip seeds that are restored from the state file.
+// Config is the configuration of one proxy process. Read returns a valid one. After the call of Serve it must not be
+// changed; Serve itself adds gossip seeds from the state file and releases KnownEndpoints.
 type Config struct {
-	Name       string // of this proxy, unique in the fleet
+	Name       string // name of this proxy, unique in the fleet
 	Listen     string // host:port for clients
 	Discovery  string // host:port of the discovery service
-	Management string // host:port of the admin API; empty: there is none
+	Management string // host:port of the admin API; empty: no admin API
 
-	LimitRuntime  bool   // the process runs this proxy only, so that limits of memory and cores apply to the Go runtime
-	HotRestartDir string // directory of the hot-restart socket; empty: there is no hot restart
+	LimitRuntime  bool   // the process runs this proxy only: the limits of memory and cores are applied to the Go runtime
+	HotRestartDir string // directory of the hot-restart socket; empty: no hot restart
 
-	Seed     uint64  // of the random number generators
+	Seed     uint64  // seed of the random number generators
 	Cores    float64 // CPU limit, above 0
 	MemoryMB int     // memory limit in MiB
 	Sockets  int     // limit of open file descriptors, at least 64
 
-	KnownEndpoints             *wire.EndpointList // endpoint list to start with, until the start; nil: none
+	KnownEndpoints             *wire.EndpointList // endpoint list to start with; nil: none, or the proxy has started
 	Settings                   *settings.Settings
-	ShadowSettings             *settings.Settings // evaluated by the shadow balancer only; nil: there is none
-	NotificationsWithoutGossip bool               // settings allow notifications between proxies, but no gossip file is named
+	ShadowSettings             *settings.Settings // settings of the shadow balancer; nil: no shadow balancer
+	NotificationsWithoutGossip bool               // notifications are allowed, but no gossip file is configured
 
 	GossipFile   string // gossip file; empty: no gossip
 	GossipListen string // host:port for gossip, overrides the gossip file
@@ -52,10 +52,10 @@
 	ZoneHealthFile string // zone health file; empty: zones are not evacuated
 	ZoneHealth     *zonehealth.Settings
 
-	StateDir   string // directory of the state file; empty: no state is stored
+	StateDir   string // directory of the state file; empty: no state file
 	StateStore *snapshot.Store
 
-	NegativeCacheFile string // negative cache file; empty: there is no negative cache
+	NegativeCacheFile string // negative cache file; empty: no negative cache
 	NegativeCache     *negativecache.Settings
 
 	RebalanceFile string // rebalance file; empty: no migrations are planned
@@ -65,9 +65,10 @@
 	Duties     *duties.Settings
 }
 
-// Read reads and checks the configuration file and all files that overrides names. Name, Listen, Discovery and
-// Management of overrides replace what the file says; LimitRuntime, HotRestartDir, StateDir and the names of the other files come
-// from overrides alone. An error is one line that names the file or key at fault.
+// Read reads and validates the configuration file and the other files that overrides names. Name, Listen, Discovery and
+// Management of overrides take precedence over the values in the file. LimitRuntime, HotRestartDir, GossipListen, StateDir
+// and the names of the other files are taken from overrides only. An error is a single line that names the invalid file or
+// key.
 func Read(file string, overrides Config) (*Config, error) {
 	read, err := readConfigFile(file)
 	if err != nil {
@@ -96,14 +97,14 @@
 	if err := config.readPolicyFiles(); err != nil {
 		return nil, err
 	}
-	// last, since it changes the settings in the document
+	// This must be the last step: it changes the settings in the document.
 	if config.ShadowSettings, err = readShadowSettings(document, config.Settings); err != nil {
 		return nil, fmt.Errorf("configuration: watch: %w", err)
 	}
 	return config, nil
 }
 
-// readProcess reads names, addresses, limits and the seed.
+// readProcess reads the name, the addresses, the limits and the seed.
 func (c *Config) readProcess(document *fastjson.Value, overrides *Config) error {
 	reader := &configReader{document: document}
 	c.Name = reader.text("name", overrides.Name)
@@ -117,7 +118,7 @@
 	return reader.err
 }
 
-// checkProcess checks what readProcess read, where the values depend on one another.
+// checkProcess checks the addresses and the socket limit that readProcess has read.
 func (c *Config) checkProcess() error {
 	if err := checkAddress("listen", c.Listen); err != nil {
 		return err
@@ -131,7 +132,7 @@
 		}
 	}
 	if c.Management == c.Listen {
-		return fmt.Errorf("configuration: management: the address of listen: %q", c.Management)
+		return fmt.Errorf("configuration: management: same address as listen: %q", c.Management)
 	}
 	if c.Sockets < minSockets {
 		return fmt.Errorf("configuration: limits.sockets: fewer than %d", minSockets)
@@ -172,12 +173,12 @@
 			return fmt.Errorf("peers: %s: listen: the address of another listener: %q", c.GossipFile, address)
 		}
 	}
-	// the balancer notifies a single peer, which stands for all of them: gossip spreads the notification
+	// The balancer has a single peer, which represents all other proxies: gossip distributes its notifications.
 	c.NotificationsWithoutGossip, c.Settings.Balancer.PeerCount, c.Settings.Balancer.Self = false, 1, 0
 	return nil
 }
 
-// readPolicyFiles opens the state directory and reads the TOML files beside the gossip file, where they are named.
+// readPolicyFiles opens the state directory and reads the TOML files other than the gossip file, as far as configured.
 func (c *Config) readPolicyFiles() (err error) {
 	if c.ZoneHealthFile != "" {
 		if c.ZoneHealth, err = readZoneHealthFile(c.ZoneHealthFile, c.Name, c.Settings); err != nil {
@@ -207,7 +208,7 @@
 	return nil
 }
 
-// Zone returns the zone in which the proxy stands; empty if it is not known.
+// Zone returns the zone of the proxy; it is empty if the zone is unknown.
 func (c *Config) Zone() string {
 	if c.ZoneHealth != nil {
 		return c.ZoneHealth.Zone
@@ -215,7 +216,7 @@
 	return c.Settings.LocalZone
 }
 
-// cluster returns the name of the fleet that this proxy belongs to; empty if no gossip file names it.
+// cluster returns the name of the fleet of this proxy; it is empty without a gossip file.
 func (c *Config) cluster() string {
 	if c.Gossip != nil {
 		return c.Gossip.Cluster
@@ -223,5 +224,5 @@
 	return ""
 }
 
-// proxies returns the number of proxies in the fleet as the settings state it, at least 1.
+// proxies returns the number of proxies in the fleet according to the settings, at least 1.
 func (c *Config) proxies() int { return max(c.Settings.Balancer.Proxies, 1) }
--- a/internal/server/configreader.go
+++ b/internal/server/configreader.go
@@ -14,17 +14,17 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxLimit bounds the figures under limits: above it a figure can only be a slip.
+// maxLimit is the exclusive upper bound of the numbers under limits: a larger number can only be a mistake.
 const maxLimit = 1e9
 
-// configFile is a configuration file that holds one JSON object.
+// configFile is the content of a configuration file, which holds one JSON object.
 type configFile struct {
 	document *fastjson.Value    // without the endpoint list
-	known    *wire.EndpointList // nil: none
+	known    *wire.EndpointList // nil: the file has no endpoint list
 }
 
-// readConfigFile reads a configuration file. Its endpoint list, which may have thousands of lines, is read as it
-// streams, and no text of it is kept.
+// readConfigFile reads a configuration file. The endpoint list, which may have thousands of entries, is decoded as a
+// stream, so that its text does not stay in memory.
 func readConfigFile(name string) (*configFile, error) {
 	if name == "" {
 		return nil, errors.New("configuration: no file named")
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // the file was only read
 	config := &configFile{}
 	err = config.read(wire.NewJSONDecoder(file))
 	var pathError *fs.PathError
@@ -50,7 +50,7 @@
 
 var errNotOneObject = errors.New("not one JSON object")
 
-// read reads the object. Errors of the endpoint list wrap wire.ErrProtocol.
+// read decodes the object. Errors in the endpoint list wrap wire.ErrProtocol.
 func (c *configFile) read(decoder *jsontext.Decoder) error {
 	token, err := decoder.ReadToken()
 	if err != nil {
@@ -75,7 +75,7 @@
 			return err
 		}
 	}
-	if _, err := decoder.ReadToken(); err != nil { // the end of the object
+	if _, err := decoder.ReadToken(); err != nil { // end of the object
 		return err
 	}
 	if _, err := decoder.ReadToken(); !errors.Is(err, io.EOF) {
@@ -85,7 +85,7 @@
 	return err
 }
 
-// appendMember appends a key and its value, which the decoder reads next, to the members of an object.
+// appendMember appends a member with the key and the decoder's next value to an unfinished JSON object.
 func appendMember(members []byte, key string, decoder *jsontext.Decoder) ([]byte, error) {
 	value, err := decoder.ReadValue()
 	if err != nil {
@@ -100,8 +100,8 @@
 	return append(append(members, ':'), value...), nil
 }
 
-// configReader reads typed values of the configuration document. It keeps the first error, since an error is to be
-// one line.
+// configReader reads typed values from the configuration document. It keeps only the first error, because an error of
+// Read is a single line.
 type configReader struct {
 	document *fastjson.Value
 	err      error
@@ -113,7 +113,7 @@
 	}
 }
 
-// text reads a string that has to be there and not be empty. An override goes before it.
+// text returns the override, or the string of the key if the override is empty. The string must not be empty.
 func (r *configReader) text(key, override string) string {
 	if override != "" {
 		return override
@@ -130,7 +130,7 @@
 	return text
 }
 
-// optionalText is like text for a key that may be left out or null.
+// optionalText is like text, but returns an empty string if the key is absent or null.
 func (r *configReader) optionalText(key, override string) string {
 	if override == "" && isNull(r.document.Get(key)) {
 		return ""
@@ -138,7 +138,7 @@
 	return r.text(key, override)
 }
 
-// limit reads a number under limits; what is left out or null is the default.
+// limit returns a number under limits, or the default if the key is absent or null.
 func (r *configReader) limit(key string, defaultValue float64) float64 {
 	value := r.document.Get("limits", key)
 	if isNull(value) {
@@ -151,7 +151,7 @@
 	return number
 }
 
-// seed reads the seed of the random numbers, a string of up to 16 hexadecimal digits.
+// seed returns the seed of the random numbers, a string of up to 16 hexadecimal digits.
 func (r *configReader) seed() uint64 {
 	value := r.document.Get("seed")
 	if value == nil {
@@ -165,5 +165,5 @@
 	return seed
 }
 
-// isNull tells whether a key was left out or is null.
+// isNull reports whether a value is absent or null.
 func isNull(value *fastjson.Value) bool { return value == nil || value.Type() == fastjson.TypeNull }
--- a/internal/server/duties.go
+++ b/internal/server/duties.go
@@ -7,8 +7,8 @@
 	"woodproxy/replica"
 )
 
-// dutiesAdapter exchanges the messages of the duties module with the other proxies. Its receiving methods accept a nil
-// adapter and do nothing then.
+// dutiesAdapter exchanges the messages of the duties module with the other proxies. The methods receive and
+// updateMembers do nothing if the adapter is nil.
 type dutiesAdapter struct {
 	sender *gossipSender
 	actor  *proxy.Duties
@@ -17,12 +17,12 @@
 // dutyRowKinds maps the message kinds of the duties module to the kinds of rows that carry them.
 var dutyRowKinds = [...]replica.Kind{duties.ProbeReport: replica.KindEndpointProbe, duties.WatchHeartbeat: replica.KindWatchHeartbeat}
 
-// publish sends a message of this proxy.
+// publish sends a message of this proxy to the other proxies.
 func (d *dutiesAdapter) publish(kind duties.ReportKind, key string, message duties.Report, ttl duties.Time) {
 	d.sender.publish(dutyRowKinds[kind], key, replica.Time(ttl), &message)
 }
 
-// receive passes on a message of another proxy; one that can't be decoded is dropped.
+// receive passes a message of another proxy to the duties module. A message that can't be decoded is dropped.
 func (d *dutiesAdapter) receive(row *replica.Row) {
 	var message duties.Report
 	if d == nil || rowcodec.Decode(row.Body, &message) != nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// updateMembers passes on the members of the fleet.
+// updateMembers passes the members of the fleet to the duties module.
 func (d *dutiesAdapter) updateMembers(members []replica.Member, catchingUp bool) {
 	if d == nil {
 		return
--- a/internal/server/dutiesfile.go
+++ b/internal/server/dutiesfile.go
@@ -17,8 +17,8 @@
 	HeartbeatExpiryMS float64 `toml:"patience_ms"`
 }
 
-// readDutiesFile reads the duties file. Duties are shared among proxies, so that without gossip it is a
-// *duties.AloneError.
+// readDutiesFile reads the duties file. Without gossip it returns a *duties.NoPeersError, because duties are shared
+// among proxies.
 func readDutiesFile(file string, config *Config) (*duties.Settings, error) {
 	if config.Gossip == nil {
 		return nil, fmt.Errorf("turns: %w", &duties.NoPeersError{File: file})
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -14,17 +14,17 @@
 	"go.uber.org/zap"
 )
 
-// observationObjectives is the TTL of an observation that a node is silent, in shortest latency objectives. The
-// balancer forgets what others observed after half of that.
+// observationObjectives is the TTL of a health observation in multiples of the shortest latency objective. The balancer
+// discards an observation of another proxy after half of that time.
 const observationObjectives = 12
 
-// gossipSender publishes rows to the other proxies. Until gossip has started, and where it never does, rows are
-// dropped: what is current is published again. Its methods may be called from any goroutine and do not wait.
+// gossipSender publishes rows to the other proxies. While gossip does not run, rows are dropped: current state is
+// published repeatedly. Its methods may be called from any goroutine and do not block.
 type gossipSender struct {
 	talker atomic.Pointer[gossip.Agent] // nil: gossip does not run
 }
 
-// publish sends a row that this proxy owns. A body that can't be encoded is dropped.
+// publish sends a row that this proxy owns. A row whose body can't be encoded is dropped.
 func (s *gossipSender) publish(kind replica.Kind, key string, ttl replica.Time, body any) {
 	talker := s.talker.Load()
 	if talker == nil {
@@ -35,14 +35,14 @@
 	}
 }
 
-// publishShared sends a row that no single proxy owns.
+// publishShared sends a row that is not owned by a single proxy.
 func (s *gossipSender) publishShared(row replica.Row) {
 	if talker := s.talker.Load(); talker != nil {
 		talker.PublishSharedRow(row)
 	}
 }
 
-// status returns how gossip stands; nil if it does not run.
+// status returns the status of gossip; nil if it does not run.
 func (s *gossipSender) status() *gossip.Status {
 	if talker := s.talker.Load(); talker != nil {
 		return talker.Status()
@@ -50,9 +50,9 @@
 	return nil
 }
 
-// gossipAdapter connects the parts of the proxy to gossip: it passes on what the talker receives (gossip.Proxy) and
-// sends endpoint list changes and health observations. It exists where gossip is not configured as well, and does
-// nothing then.
+// gossipAdapter connects the parts of the proxy to gossip. It passes on the data that the gossip agent receives
+// (gossip.Proxy), and sends endpoint list changes and health observations. It exists even if gossip is not configured,
+// and does nothing then.
 type gossipAdapter struct {
 	sender    *gossipSender
 	config    *Config
@@ -63,12 +63,13 @@
 
 	zoneHealth    *zoneHealthAdapter    // nil: zones are not evacuated
 	duties        *dutiesAdapter        // nil: each proxy performs all duties itself
-	negativeCache *negativeCacheAdapter // nil: there is no negative cache
+	negativeCache *negativeCacheAdapter // nil: no negative cache
 
-	listVersion atomic.Int64 // of the endpoint list that discovery sent last
+	listIndex atomic.Int64 // index of the endpoint list that discovery sent last
 }
 
-// start binds the gossip address and begins to talk, where a gossip file is named.
+// start listens on the gossip address and starts the gossip agent. It does nothing if no gossip file is configured, and
+// fails if the address can't be bound.
 func (g *gossipAdapter) start() error {
 	config := g.config
 	if config.Gossip == nil {
@@ -82,13 +83,14 @@
 	}
 	g.router.SetQuotaShare(config.Gossip.QuotaFloor / float64(config.proxies()))
 	g.sender.talker.Store(talker)
-	if version := g.listVersion.Load(); version > 0 { // discovery has sent a list before gossip started
+	if version := g.listIndex.Load(); version > 0 { // discovery sent a list before gossip was started
 		talker.PublishEndpoints(version, true, g.router.Endpoints())
 	}
 	return nil
 }
 
-// stop leaves the fleet. Where a successor carries on under the same name, the others are not told of a departure.
+// stop leaves the fleet. If a successor continues under the same name, no departure is announced to the other proxies.
+// It waits until the goroutines of the agent have ended.
 func (g *gossipAdapter) stop(hasSuccessor bool) {
 	if talker := g.sender.talker.Load(); talker != nil {
 		talker.SetReplaced(hasSuccessor)
@@ -96,44 +98,44 @@
 	}
 }
 
-// publishEndpoints sends what discovery told of the endpoint list: all of it, or changes.
+// publishEndpoints sends a complete endpoint list from discovery, or changes of it.
 func (g *gossipAdapter) publishEndpoints(version int64, complete bool, targets []wire.Endpoint) {
-	g.listVersion.Store(version)
+	g.listIndex.Store(version)
 	if talker := g.sender.talker.Load(); talker != nil {
 		talker.PublishEndpoints(version, complete, targets)
 	}
 }
 
-// publishObservation tells that a node fell silent here, or answers again.
+// publishObservation sends this proxy's observation that a node does not respond, or responds again.
 func (g *gossipAdapter) publishObservation(node string, answers bool) {
 	if talker := g.sender.talker.Load(); talker != nil {
 		talker.PublishHealth(node, answers)
 	}
 }
 
-// catchingUp tells whether rows of the other proxies are still being fetched.
+// catchingUp reports whether this proxy still fetches the rows of the other proxies.
 func (g *gossipAdapter) catchingUp() bool {
 	status := g.sender.status()
 	return status != nil && status.CatchingUp
 }
 
-// EndpointChanged passes on an endpoint that a peer's discovery sent.
+// EndpointChanged passes an endpoint that a peer received from discovery to the endpoint list.
 func (g *gossipAdapter) EndpointChanged(index int64, target wire.Endpoint) {
 	g.endpoints.ReceivePeerUpdate(index, target)
 }
 
-// HealthReported passes on that a peer found a node silent, or answering.
+// HealthReported passes a peer's observation that a node does not respond, or responds again, to the router.
 func (g *gossipAdapter) HealthReported(node string, answers bool) {
 	g.router.ReceivePeerReport(node, answers)
 }
 
-// QuotaShareChanged passes on this proxy's part of the fleet's quota, from 0 to 1.
+// QuotaShareChanged passes this proxy's fraction of the fleet's quota, from 0 to 1, to the router.
 func (g *gossipAdapter) QuotaShareChanged(part float64) { g.router.SetQuotaShare(part) }
 
-// RequestCount returns the number of requests since the start.
+// RequestCount returns the number of requests since the start of the process.
 func (g *gossipAdapter) RequestCount() int64 { return g.counters.Exchanges.Load() }
 
-// WriteRowCount returns the number of write notices sent since the start, which heartbeats carry.
+// WriteRowCount returns the number of write reports sent since the start of the process. Heartbeats carry this number.
 func (g *gossipAdapter) WriteRowCount() int64 {
 	if g.negativeCache == nil {
 		return 0
@@ -141,7 +143,7 @@
 	return g.negativeCache.actor.SentWriteMessages()
 }
 
-// RowChanged passes a peer's row to the part that its kind belongs to.
+// RowChanged passes a peer's row to the module that handles its kind.
 func (g *gossipAdapter) RowChanged(row *replica.Row) {
 	switch row.Kind {
 	case replica.KindZoneReport:
@@ -155,7 +157,8 @@
 	}
 }
 
-// MembersUpdated passes on the members of the fleet, this proxy included, and whether it still catches up with them.
+// MembersUpdated passes the members of the fleet, including this proxy, to the modules, and whether this proxy is still
+// catching up with the others.
 func (g *gossipAdapter) MembersUpdated(members []replica.Member, catchingUp bool) {
 	g.duties.updateMembers(members, catchingUp)
 	g.negativeCache.updateMembers(members, catchingUp)
@@ -166,7 +169,7 @@
 
 func hasDeparted(member *replica.Member) bool { return member.State == replica.MemberDeparted }
 
-// kindNames are the names of row kinds in the answer to GET /control/peers.
+// kindNames are the names of row kinds in the response to GET /control/peers.
 var kindNames = map[replica.Kind]string{
 	replica.KindHeartbeat:         "pulse",
 	replica.KindHealthObservation: "sight",
@@ -180,7 +183,7 @@
 	replica.KindAbsentKeys:        "absent",
 }
 
-// statusText returns the answer to GET /control/peers; empty if gossip does not run.
+// statusText returns the response to GET /control/peers; it is empty if gossip does not run.
 func (g *gossipAdapter) statusText() string {
 	talker := g.sender.talker.Load()
 	if talker == nil {
--- a/internal/server/invariants.go
+++ b/internal/server/invariants.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// Violations are logged up to a rate; all are counted.
+	// Log lines for violations are limited to this rate and burst. All violations are counted.
 	violationsPerSec = 10
 	violationBurst   = 50
 
 	clockCheckInterval = time.Second
-	minClockStep       = 300 * time.Millisecond // a smaller difference may be the clock's being slewed, or a delay
+	minClockStep       = 300 * time.Millisecond // smaller differences may come from clock slewing or delays
 )
 
-// newInvariantChecker returns a checker whose violations are logged.
+// newInvariantChecker returns a checker that logs violations.
 func newInvariantChecker(log *zap.Logger) *invariant.Checker {
 	limiter := rate.NewLimiter(violationsPerSec, violationBurst)
 	return invariant.NewChecker(func(v invariant.Violation) {
@@ -30,15 +30,15 @@
 	})
 }
 
-// clockWatch sees steps of the wall clock, by comparing it with the monotonic clock.
+// clockWatch detects steps of the wall clock by comparison with the monotonic clock.
 type clockWatch struct {
 	start  time.Time
-	offset time.Duration // of the wall clock, against what it would show without any step
+	offset time.Duration // sum of the steps that were detected since start
 }
 
 func newClockWatch(now time.Time) *clockWatch { return &clockWatch{start: now} }
 
-// check returns the step since the last check, 0 if there was none.
+// check returns the step of the wall clock since the last check, or 0 if there was none.
 func (w *clockWatch) check(now time.Time) time.Duration {
 	wall := now.Round(0).Sub(w.start.Round(0)) // without the monotonic reading
 	offset := wall - now.Sub(w.start)
@@ -63,7 +63,7 @@
 		}
 		if step := watch.check(time.Now()); step != 0 {
 			counters.WallClockSteps.Add(1)
-			log.Warn("wall clock has stepped; deadlines and windows go on by the monotonic clock", zap.Duration("by", step))
+			log.Warn("wall clock stepped; deadlines and time windows follow the monotonic clock", zap.Duration("by", step))
 		}
 	}
 }
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -16,12 +16,13 @@
 	"go.uber.org/zap"
 )
 
-// soReusePort is SO_REUSEPORT, which package syscall lacks: a second process may listen on the same address.
+// soReusePort is the socket option SO_REUSEPORT, which package syscall does not define. It allows a second process to
+// listen on the same address.
 const soReusePort = 15
 
-// openListener inherits the listener of the process that this one replaces, if there is one, or else listens itself;
-// the predecessor is nil then. A predecessor that can't be asked may still be running: both listen then, and the
-// kernel distributes clients among them.
+// openListener inherits the listener of the predecessor. If there is no predecessor, or its listener can't be inherited,
+// it opens a new listener and returns a nil predecessor. A predecessor that does not hand over its listener may still be
+// running: both processes listen then, and the kernel distributes clients among them.
 func openListener(config *Config, log *zap.Logger) (*net.TCPListener, *hotrestart.Predecessor, error) {
 	if config.HotRestartDir != "" {
 		predecessor, err := hotrestart.TakeOver(config.HotRestartDir, config.Listen)
@@ -40,14 +41,14 @@
 	return listener, nil, nil
 }
 
-// How long a start goes on that fails for want of something on this machine, and how often it is tried again. A process
-// is to serve 10 s after its start.
+// Retries of a step of the start that fails with a transient error of this machine, for example a lack of descriptors.
 const (
-	startRetryTime  = 7 * time.Second
+	startRetryTime  = 7 * time.Second // a process has to serve clients 10 s after its start
 	startRetryDelay = 20 * time.Millisecond
 )
 
-// retryStart calls a function until it succeeds, fails for a reason that does not pass by itself, or time is up.
+// retryStart calls a function until it succeeds, fails with an error that is not transient, or startRetryTime is over.
+// It returns the last error.
 func retryStart(call func() error) error {
 	for end := time.Now().Add(startRetryTime); ; time.Sleep(startRetryDelay) {
 		err := call()
@@ -57,7 +58,7 @@
 	}
 }
 
-// listenPersistently listens at an address.
+// listenPersistently listens on an address, with retries after transient errors.
 func listenPersistently(address string, listen func(string) (*net.TCPListener, error)) (listener *net.TCPListener, err error) {
 	err = retryStart(func() error {
 		listener, err = listen(address)
@@ -69,7 +70,7 @@
 func listenReusingPort(address string) (*net.TCPListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
 		return conn.Control(func(fd uintptr) {
-			// without the option the process listens all the same, where it is the only one
+			// If this fails, the process can still listen as long as no other process does.
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
 		})
 	}}
@@ -80,8 +81,8 @@
 	return listener.(*net.TCPListener), nil
 }
 
-// offerListener lets a later process inherit the listener and the endpoint list. Without a directory for the
-// hot-restart socket none can.
+// offerListener starts to offer the listener and the endpoint list to successors. Without a directory for the
+// hot-restart socket, no successor can inherit them.
 func (s *server) offerListener(listener *net.TCPListener) *hotrestart.Server {
 	onChange := func(successors, serving int) {
 		s.resources.update(func(b *resourceBudget) { b.hasSuccessor = successors > 0 })
@@ -96,7 +97,7 @@
 	return offer
 }
 
-// encodeEndpoints returns the current endpoint list in discovery's format, null if there is none.
+// encodeEndpoints returns the current endpoint list in the format of discovery, or null if there is none.
 func (s *server) encodeEndpoints() []byte {
 	if targets := s.router.Endpoints(); targets != nil {
 		return wire.AppendEndpointList(nil, targets)
@@ -104,13 +105,13 @@
 	return []byte("null")
 }
 
-// inheritedEndpoints returns the predecessor's endpoint list; nil if there is none that can be read.
+// inheritedEndpoints returns the endpoint list of the predecessor, or nil if there is none or it can't be decoded.
 func inheritedEndpoints(predecessor *hotrestart.Predecessor, log *zap.Logger) *wire.EndpointList {
 	if predecessor == nil || predecessor.EndpointList == nil {
 		return nil
 	}
 	list, err := wire.ReadEndpointList(bytes.NewReader(predecessor.EndpointList))
-	predecessor.EndpointList = nil // which may be as long as the process that ends
+	predecessor.EndpointList = nil // releases the memory: the predecessor stays referenced until it has exited
 	if err != nil {
 		log.Warn("endpoint list not inherited from predecessor", zap.Error(err))
 		return nil
@@ -118,10 +119,10 @@
 	return list
 }
 
-// awaitPredecessorExit tells the predecessor that this process serves clients, and takes the whole resource budget and
-// the gossip address once that process has exited.
+// awaitPredecessorExit notifies the predecessor that this process serves clients and waits until the predecessor has
+// exited. It then takes over the complete resource budget and starts gossip on the address that has become free.
 func (s *server) awaitPredecessorExit(predecessor *hotrestart.Predecessor) {
-	if err := predecessor.NotifyServing(); err == nil { // else it has exited
+	if err := predecessor.NotifyServing(); err == nil { // otherwise the predecessor has exited
 		predecessor.WaitForExit()
 	}
 	s.resources.update(func(b *resourceBudget) { b.hasPredecessor = false })
--- a/internal/server/managementaddress.go
+++ b/internal/server/managementaddress.go
@@ -7,10 +7,10 @@
 	"syscall"
 )
 
-// ManagementAddressError reports that the address of the admin API can't be listened at.
+// ManagementAddressError is returned if the process can't listen on the address of the admin API.
 type ManagementAddressError struct{ Err error }
 
-// Error returns the error in one line, with what an operator can do.
+// Error returns a message of one line. If the address is in use, it states how to resolve that.
 func (e *ManagementAddressError) Error() string {
 	if errors.Is(e.Err, syscall.EADDRINUSE) {
 		return fmt.Sprintf("configuration: management: a process that replaces another needs an address of its own: %v", e.Err)
@@ -18,11 +18,11 @@
 	return fmt.Sprintf("configuration: management: %v", e.Err)
 }
 
-// Unwrap returns the system's error.
+// Unwrap returns the error of the system call.
 func (e *ManagementAddressError) Unwrap() error { return e.Err }
 
-// CheckManagementAddress listens at the address of the admin API for a moment, where there is one. An error is a
-// [ManagementAddressError].
+// CheckManagementAddress checks that the process can listen on the address of the admin API. It does nothing if the
+// address is empty. It returns a [*ManagementAddressError] if listening fails.
 func CheckManagementAddress(address string) error {
 	if address == "" {
 		return nil
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -29,19 +29,19 @@
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes})
 }
 
-// metricsCollector collects the proxy's counters and the figures of its modules at each scrape.
+// metricsCollector collects the counters of the proxy and the statistics of its modules at each scrape.
 type metricsCollector struct {
 	counters *proxy.Counters
 	gossip   *gossipAdapter
 	recovery *recoveryTracker
 }
 
-// gaugeCounters are those of the proxy's counters that go down as well.
+// gaugeCounters are the names of the proxy's counters that can decrease.
 var gaugeCounters = map[string]bool{
 	"ClientsOpen": true, "Held": true, "Bytes": true, "Passing": true, "UpstreamOpen": true,
 }
 
-// Describe sends nothing, which makes the collector unchecked: its metrics are known when they are collected.
+// Describe sends nothing, which makes the collector unchecked: its metrics are not known before they are collected.
 func (m metricsCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect sends the current value of each metric.
@@ -71,7 +71,7 @@
 	}
 }
 
-// metricSink makes metrics of values and sends them.
+// metricSink converts values to metrics and sends them.
 type metricSink chan<- prometheus.Metric
 
 func (s metricSink) gauge(name, help string, value float64) {
@@ -86,7 +86,8 @@
 	s <- prometheus.MustNewConstMetric(prometheus.NewDesc(metricPrefix+name, help, nil, nil), kind, value)
 }
 
-// byReason sends what is counted by reason, invariant, or system call.
+// byReason sends the counters that have a label, for example the reason, invariant or system call, and further
+// statistics of the process.
 func (s metricSink) byReason(counters *proxy.Counters) {
 	counters.EachReason(func(c proxy.ReasonCount) {
 		desc := prometheus.NewDesc(metricPrefix+c.Metric+"_total", c.Help, []string{c.Label}, nil)
@@ -133,7 +134,7 @@
 	s.counter("missing_cleared", "Times that all was forgotten.", figures.Flushes)
 }
 
-// snakeCase converts a counter's name in camel case to a metric's.
+// snakeCase converts the name of a counter in camel case to the name of a metric.
 func snakeCase(name string) string {
 	var b strings.Builder
 	for i, r := range name {
--- a/internal/server/negativecache.go
+++ b/internal/server/negativecache.go
@@ -10,16 +10,16 @@
 	"woodproxy/replica"
 )
 
-// negativeCacheAdapter exchanges write notices and misses at the origin with the other proxies. Its receiving methods
-// accept a nil adapter and do nothing then.
+// negativeCacheAdapter exchanges reports on written keys and on keys absent at the origin with the other proxies. The
+// methods receive and updateMembers do nothing if the adapter is nil.
 type negativeCacheAdapter struct {
 	sender  *gossipSender
-	ttl     replica.Time // of published rows
-	proxies int          // of the fleet, as the settings state it
+	ttl     replica.Time // TTL of published rows
+	proxies int          // number of proxies in the fleet according to the settings
 	actor   *proxy.NegativeCache
 }
 
-// publish sends which keys this proxy wrote, or which the origin lacks.
+// publish sends a report on keys that this proxy has written, or that are absent at the origin.
 func (n *negativeCacheAdapter) publish(decision *negativecache.Decision) {
 	kind := replica.KindWrittenKeys
 	if decision.Action == negativecache.ActionReportAbsent {
@@ -28,7 +28,7 @@
 	n.sender.publish(kind, fmt.Sprint("s", decision.Slot), n.ttl, &decision.Report)
 }
 
-// receive passes on a row of another proxy; one that can't be decoded is dropped.
+// receive passes a report of another proxy to the negative cache. A report that can't be decoded is dropped.
 func (n *negativeCacheAdapter) receive(row *replica.Row) {
 	var message negativecache.KeyReport
 	if n == nil || rowcodec.Decode(row.Body, &message) != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// updateMembers passes on the proxies that may write.
+// updateMembers passes the proxies that may write keys to the negative cache.
 func (n *negativeCacheAdapter) updateMembers(members []replica.Member, catchingUp bool) {
 	if n == nil {
 		return
--- a/internal/server/negativecachefile.go
+++ b/internal/server/negativecachefile.go
@@ -6,7 +6,8 @@
 	"woodproxy/negativecache"
 )
 
-// maxTTLSeconds is the upper bound of believe_s as the negative cache checks it; it is told with the lower bound here.
+// maxTTLSeconds is the upper bound of believe_s. The negative cache checks it; here it is only part of the error for a
+// value below the lower bound.
 const maxTTLSeconds = 600
 
 // negativeCacheFile is the format of the negative cache file (deploy/missing.toml).
@@ -17,8 +18,8 @@
 	GrowPerSecond int     `toml:"grow_per_s"`
 }
 
-// readNegativeCacheFile reads the negative cache file. Where other proxies may write, they have to be heard: without
-// gossip it is a *negativecache.AloneError.
+// readNegativeCacheFile reads the negative cache file. It returns a *negativecache.NoPeersError if the fleet has several
+// proxies and there is no gossip: the proxy must receive the write reports of all other proxies.
 func readNegativeCacheFile(file string, config *Config) (*negativecache.Settings, error) {
 	values := &negativeCacheFile{Entries: 1 << 16, TTLSeconds: 10, GracePeriodMS: 2000, GrowPerSecond: 2000}
 	terms := &negativecache.Settings{}
@@ -45,8 +46,8 @@
 	return terms, nil
 }
 
-// checkTTL requires the TTL to cover twice the longest overall timeout: a write may be carried out until that ends, and
-// what the origin answers on its key before that is not cached.
+// checkTTL checks that the TTL is at least twice the longest overall timeout: a write may be executed until this timeout
+// ends, and the origin's responses for the written key are not cached before that.
 func (f *negativeCacheFile) checkTTL(config *Config) error {
 	least := 2 * float64(config.Settings.LongestTimeout) / float64(negativecache.Second)
 	if f.TTLSeconds < least {
--- a/internal/server/policyfile.go
+++ b/internal/server/policyfile.go
@@ -8,9 +8,9 @@
 	"woodproxy/internal/settings"
 )
 
-// readPolicyFile decodes a TOML file into target, which holds the defaults, and then has check test and convert what
-// was read. Unknown keys are errors. The label names the kind of the file in errors, which are one line and wrap what
-// check returns.
+// readPolicyFile decodes a TOML file into target, which holds the defaults, and then calls check, which validates and
+// converts the values. Unknown keys are errors. An error is a single line that begins with the label, the kind of the file,
+// and wraps the error of check.
 func readPolicyFile(label, file string, target any, check func() error) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -25,11 +25,12 @@
 	return nil
 }
 
-// maxObjectiveTenths is the latency objective that is assumed where no route has a shorter one: a minute.
+// maxObjectiveTenths is the latency objective that is assumed if no route has a shorter one: a minute, in tenths of a
+// millisecond.
 const maxObjectiveTenths = 60 * 10000
 
 // shortestObjective returns the shortest latency objective of all routes, in tenths of a millisecond. T is the time
-// type of the module that asks.
+// type of the calling module.
 func shortestObjective[T ~int64](proxySettings *settings.Settings) T {
 	shortest := T(maxObjectiveTenths)
 	for _, route := range proxySettings.Balancer.Routes {
--- a/internal/server/rebalance.go
+++ b/internal/server/rebalance.go
@@ -10,39 +10,41 @@
 )
 
 const (
-	// maxConcurrentPlans bounds the plans that are made at a time; further calls fail at once.
+	// maxConcurrentPlans is the maximum number of plans computed at the same time. Further calls fail immediately.
 	maxConcurrentPlans = 1
 
-	// Bounds of an inventory: planning takes this process's memory and time.
+	// Maximum size of an inventory: planning uses memory and CPU time of this process.
 	maxInventoryNodes  = 500
 	maxInventoryShards = 16384
 )
 
-// PlannerBusyError tells that as many migration plans are being made as may be at a time. Operators' programs read it
-// as JSON.
+// PlannerBusyError is returned if the maximum number of migration plans is being computed already. It is part of the
+// JSON responses of the admin API, which operators' programs parse.
 type PlannerBusyError struct {
 	Limit int `json:"Most"`
 }
 
-// TypeName is the error's type on the wire.
+// TypeName returns the name of the error's type in responses of the admin API.
 func (e *PlannerBusyError) TypeName() string { return "run.BusyError" }
 
+// Error returns the error in one line.
 func (e *PlannerBusyError) Error() string {
 	return fmt.Sprintf("%d plan is being made already; ask again once it is done", e.Limit)
 }
 
 // migrationPlanner plans shard migrations for operators. Its methods may be called from any goroutine.
 type migrationPlanner struct {
-	config *rebalance.Settings // nil: nothing is planned
-	slots  chan struct{}       // holds one element for each plan that is being made
+	config *rebalance.Settings // nil: no rebalance file is configured
+	slots  chan struct{}       // semaphore with one element for each plan that is being computed
 }
 
 func newMigrationPlanner(config *rebalance.Settings) *migrationPlanner {
 	return &migrationPlanner{config: config, slots: make(chan struct{}, maxConcurrentPlans)}
 }
 
-// plan reads an inventory in JSON and returns the plan, to be sent as JSON; nil and no error if no rebalance file is
-// named. It takes up to a second. Errors are of type *PlannerBusyError or of the types of package rebalance.
+// plan reads an inventory in JSON and returns the plan, which is sent as JSON. It returns nil and no error if no
+// rebalance file is configured. It takes up to a second. Errors have the type *PlannerBusyError or a type of package
+// rebalance.
 func (p *migrationPlanner) plan(inventory io.Reader) (any, error) {
 	if p.config == nil {
 		return nil, nil
@@ -78,7 +80,8 @@
 	return &rebalance.InventoryError{Path: "inventory", Reason: fault}
 }
 
-// describeJSONError returns the text of a decoding error; the decoder's own text on bad syntax quotes the input.
+// describeJSONError returns the text of a decoding error. For syntax errors it does not use the text of the decoder,
+// which quotes the input.
 func describeJSONError(err error) string {
 	var syntaxError *json.SyntaxError
 	if errors.As(err, &syntaxError) {
--- a/internal/server/rebalancefile.go
+++ b/internal/server/rebalancefile.go
@@ -6,7 +6,8 @@
 	"woodproxy/rebalance"
 )
 
-// exactSearchLimit bounds the planner's exact search; larger inventories are planned by its heuristic.
+// exactSearchLimit is the maximum number of placements that the planner searches exhaustively. Larger inventories are
+// planned by a heuristic.
 const exactSearchLimit = 1 << 14
 
 // rebalanceFile is the format of the rebalance file (deploy/moves.toml).
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -10,10 +10,11 @@
 	"go.uber.org/zap"
 )
 
-// recoveryInterval is the time between two looks at what the stages of recovery depend on.
+// recoveryInterval is the interval at which the inputs of the recovery module are polled.
 const recoveryInterval = 100 * time.Millisecond
 
-// recoveryTracker follows the stages of recovery after the start, and has the state stored meanwhile and from then on.
+// recoveryTracker tracks the stages of recovery after the start of the process. It also writes the state file for as long
+// as the process runs.
 type recoveryTracker struct {
 	gossip    *gossipAdapter
 	endpoints *proxy.EndpointList
@@ -23,16 +24,17 @@
 	writer    *snapshotWriter
 
 	quit  chan struct{} // closed by stop
-	ended chan struct{} // closed when run has returned
+	ended chan struct{} // closed when run returns
 
-	completedSeen int64 // of the counters, what the instance was told; used by run only
+	// Values of the counters up to which requests have been reported to the recovery module; used by run only.
+	completedSeen int64
 	failedSeen    int64
 
 	mu       sync.Mutex
 	instance *recovery.Tracker // guarded by mu
 }
 
-// newRecoveryTracker returns a tracker in the first stage.
+// newRecoveryTracker returns a tracker in the first stage of recovery.
 func newRecoveryTracker(s *server, restored restoredState) *recoveryTracker {
 	tracker := &recoveryTracker{
 		gossip:    s.gossip,
@@ -55,7 +57,7 @@
 
 func (t *recoveryTracker) now() recovery.Time { return recovery.Time(t.clock.Now()) }
 
-// run follows the stages and writes snapshots until stop.
+// run tracks the stages and writes snapshots until stop is called.
 func (t *recoveryTracker) run() {
 	defer close(t.ended)
 	ticker := time.NewTicker(recoveryInterval)
@@ -74,7 +76,7 @@
 	}
 }
 
-// tick tells the recovery module what has happened since the last tick, and returns the changes of stage.
+// tick reports the events since the last tick to the recovery module and returns the resulting stage changes.
 func (t *recoveryTracker) tick() []recovery.StageChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +86,7 @@
 		changes = append(changes, t.instance.EndpointListReceived(t.now())...)
 	}
 	if status := t.gossip.sender.status(); status != nil {
-		alive := -1 // others than this proxy, which is a member too
+		alive := -1 // this proxy is a member too, and is not counted
 		for i := range status.Members {
 			if isAlive(&status.Members[i]) {
 				alive++
@@ -95,7 +97,8 @@
 	return changes
 }
 
-// reportAnswers reports the requests that were answered in time, and those that were not. The caller holds the lock.
+// reportAnswers reports the requests that have finished since the last call, and whether they were answered in time. The
+// caller holds the lock.
 func (t *recoveryTracker) reportAnswers() {
 	for ; t.completedSeen < t.counters.Completed.Load(); t.completedSeen++ {
 		t.instance.RequestFinished(true)
@@ -105,13 +108,13 @@
 	}
 }
 
-// stop ends run and waits for it. Run must have been started.
+// stop ends run and waits until it has returned. It must not be called unless run was started.
 func (t *recoveryTracker) stop() {
 	close(t.quit)
 	<-t.ended
 }
 
-// figures returns how recovery stands. It may be called from any goroutine.
+// figures returns the status of recovery. It may be called from any goroutine.
 func (t *recoveryTracker) figures() recovery.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -8,14 +8,15 @@
 	"go.uber.org/zap"
 )
 
-// rereadResult is what came of reading the configuration anew.
+// rereadResult is the result of reading the configuration again.
 type rereadResult struct {
 	config *Config
 	err    error
 }
 
-// handleSignals handles signals until one tells the proxy to stop, and returns the configuration in effect then. The
-// file is read on a goroutine of its own, one at a time: its disk may hang, and the proxy is to stop all the same.
+// handleSignals handles signals until the signal to stop, and returns the configuration that is then in effect. The
+// configuration is read on a separate goroutine, one at a time: a signal to stop must be handled even if the disk hangs. A
+// reload during a read leads to one more read afterwards.
 func (s *server) handleSignals(reread func() (*Config, error), signals Signals) *Config {
 	current := s.config
 	reading, again := false, false
@@ -31,7 +32,7 @@
 		case <-signals.LogCounters:
 			s.log.Info("counters", counterFields(s.counters)...)
 		case <-signals.Reload:
-			if again = reading; !reading { // what is being read may have changed since
+			if again = reading; !reading { // the file may have changed after it was read
 				reading = true
 				go read()
 			}
@@ -45,7 +46,8 @@
 	}
 }
 
-// takeReread applies a configuration that was read anew, unless it is bad, and returns the one in effect.
+// takeReread applies a configuration that was read again, and returns the configuration in effect. If reading failed, the
+// current configuration stays in effect.
 func (s *server) takeReread(current *Config, result rereadResult) *Config {
 	if result.err != nil {
 		s.log.Error("configuration reload failed; the previous configuration stays in effect", zap.Error(result.err))
@@ -55,8 +57,8 @@
 	return result.config
 }
 
-// reload applies what can change while the proxy runs: the address of discovery, cores and memory. All else is reset
-// to the current values, and a warning says so.
+// reload applies the values that can change while the proxy runs: the address of discovery, cores and memory. If other
+// values differ, it logs a warning and resets them in config to the current values.
 func (s *server) reload(current, config *Config) {
 	s.log.Info("configuration reloaded", zap.String("discovery", config.Discovery), zap.Float64("cores", config.Cores),
 		zap.Int("memory_mb", config.MemoryMB))
@@ -69,10 +71,10 @@
 	s.endpoints.SetAddress(config.Discovery)
 }
 
-// sameStartValues tells whether two configurations agree in all that is read at the start only.
+// sameStartValues reports whether two configurations agree in all values that take effect only at the start.
 func sameStartValues(a, b *Config) bool {
 	return a.Name == b.Name && a.Listen == b.Listen && a.Management == b.Management && a.Sockets == b.Sockets &&
-		a.RebalanceFile == b.RebalanceFile && // its terms hold a function, which can't be compared
+		a.RebalanceFile == b.RebalanceFile && // the settings contain a function, which can't be compared
 		reflect.DeepEqual(a.Settings, b.Settings) &&
 		reflect.DeepEqual(a.ShadowSettings, b.ShadowSettings) &&
 		reflect.DeepEqual(a.Gossip, b.Gossip) &&
@@ -81,7 +83,7 @@
 		reflect.DeepEqual(a.NegativeCache, b.NegativeCache)
 }
 
-// keepStartValues sets all that is read at the start only to the current values.
+// keepStartValues sets all values of config that take effect only at the start to the current values.
 func keepStartValues(current, config *Config) {
 	config.Name, config.Listen, config.Management = current.Name, current.Listen, current.Management
 	config.Sockets = current.Sockets
--- a/internal/server/resources.go
+++ b/internal/server/resources.go
@@ -9,43 +9,43 @@
 	"woodproxy/internal/proxy"
 )
 
-// reservedSockets are descriptors for the standard streams, listeners, the watch at discovery, admin calls, the
-// hot-restart socket and the Go runtime.
+// reservedSockets is the number of descriptors for the standard streams, listeners, the watch at discovery, admin calls,
+// the hot-restart socket and the Go runtime.
 const reservedSockets = 24
 
-// socketBudget is how many sockets there are for which use.
+// socketBudget holds the maximum number of sockets for each use.
 type socketBudget struct {
 	upstream int // connections to cache servers and the origin
-	clients  int // connections of clients
-	served   int // of these, connections that may be kept once a request on them was answered
+	clients  int // client connections
+	served   int // client connections that may stay open after a request on them was answered
 }
 
-// divideSockets divides the descriptors. Clients have at most a third of the descriptors that are for requests. Those
-// that send one request and keep their connection would fill that third, and nobody could send anything more though
-// the proxy has capacity: so only a quarter of all may be kept by such.
+// divideSockets divides the descriptors. Clients have at most a third of the descriptors that are for requests. Clients
+// that send one request and keep their connection could use up that third, and no other client could send a request
+// although the proxy has capacity. Therefore at most a quarter of all descriptors is available to such connections.
 func divideSockets(sockets int) socketBudget {
 	upstream := (sockets - reservedSockets) * 2 / 5
 	return socketBudget{upstream: upstream, clients: sockets - reservedSockets - upstream, served: sockets / 4}
 }
 
-// resourceBudget bounds the sockets, memory and cores of this process. During a hot restart two processes share the
-// budget of one: the successor gets half of the upstream connections and two thirds of the client connections, the
-// predecessor keeps the rest, and each gets half of the memory.
+// resourceBudget limits the sockets, memory and cores of this process. During a hot restart two processes share the
+// budget of one process: the successor gets half of the upstream connections and two thirds of the client connections,
+// the predecessor keeps the rest, and each process gets half of the memory.
 type resourceBudget struct {
 	sockets        socketBudget
 	clientListener *proxy.Listener
 	router         *proxy.Router
-	limitsRuntime  bool // limits of cores and memory apply to the Go runtime
+	limitsRuntime  bool // the limits of cores and memory are applied to the Go runtime
 
-	mu                sync.Mutex // guards the fields below, and orders updates of the listener and the router
+	mu                sync.Mutex // guards the fields below, and serializes updates of the listener and the router
 	cores             float64
 	memoryMB          int
-	hasPredecessor    bool // the process that this one replaces is still running
-	hasSuccessor      bool // a process that replaces this one is running
-	upstreamWithdrawn int  // upstream connections taken from the router's budget while the process shares it
+	hasPredecessor    bool // the predecessor is still running
+	hasSuccessor      bool // a successor is running
+	upstreamWithdrawn int  // upstream connections withdrawn from the router during a hot restart
 }
 
-// update changes the inputs of the budget and applies the result.
+// update changes the inputs of the budget by the function and applies the resulting limits.
 func (b *resourceBudget) update(change func(b *resourceBudget)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,7 +53,7 @@
 	b.apply()
 }
 
-// apply gives the client listener, the router and the Go runtime their parts. The caller holds the lock.
+// apply sets the limits of the client listener, the router and the Go runtime. The caller holds the lock.
 func (b *resourceBudget) apply() {
 	clients, withdrawn, memoryMB := b.sockets.clients, 0, b.memoryMB
 	if b.hasPredecessor || b.hasSuccessor {
@@ -75,8 +75,8 @@
 	}
 }
 
-// limitRuntime bounds the threads that run Go code, and has the garbage collector run more often once two thirds of
-// the memory are used.
+// limitRuntime limits the number of threads that run Go code, and sets the soft memory limit of the Go runtime to two
+// thirds of the memory: beyond that the garbage collector runs more often.
 func limitRuntime(cores float64, memoryMB int) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(cores)), 1))
 	debug.SetMemoryLimit(int64(memoryMB) << 20 * 2 / 3)
--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	maxSnapshotAge   = 24 * time.Hour // an older endpoint list is not used
-	maxRestoredSeeds = 16             // stored addresses of peers that are used as gossip seeds
+	maxSnapshotAge   = 24 * time.Hour // older stored endpoint lists are not used
+	maxRestoredSeeds = 16             // maximum number of stored peer addresses that are used as gossip seeds
 )
 
-// What became of the stored state, as GET /control/recovery shows it, beside the reasons of recovery.Believe.
+// Outcomes of the restore in the response to GET /control/recovery. Further outcomes are the reasons of
+// recovery.SelectEndpointList.
 const (
 	restoredNothing      = "nothing"
 	restoredUnreadable   = "unreadable, and put aside"
@@ -26,15 +27,15 @@
 	restoredOtherCluster = "another fleet's"
 )
 
-// restoredState is the endpoint list to start with, and what became of the stored state.
+// restoredState is the endpoint list to start with, and the outcome of the restore.
 type restoredState struct {
 	endpoints *wire.EndpointList // nil: none
-	outcome   string             // for operators; empty if no state is stored
-	drained   int                // endpoints that are not used because the stored list had them draining
+	outcome   string             // text for operators; empty if there is no state file
+	drained   int                // number of endpoints that are not used because they are draining in the stored list
 }
 
-// restoreState compares the stored state with the configuration and returns which endpoint list to start with. Stored
-// addresses of peers are added to the gossip seeds of the configuration. A state file that can't be read is moved
+// restoreState compares the stored state with the configuration and returns the endpoint list to start with. Stored
+// addresses of peers are added to the gossip seeds of the configuration. A state file with invalid content is moved
 // aside.
 func restoreState(config *Config, log *zap.Logger) restoredState {
 	configured := restoredState{endpoints: config.KnownEndpoints}
@@ -73,14 +74,15 @@
 	return chooseEndpoints(config, stored, storedList, log)
 }
 
-// moveAside keeps a state file that is of no use for operators. Where that fails the next snapshot replaces it.
+// moveAside renames a corrupt state file so that operators can inspect it. If that fails, the next snapshot replaces it.
 func moveAside(store *snapshot.Store, log *zap.Logger) {
 	if err := store.Quarantine(); err != nil {
-		log.Warn("state: the file can't be moved aside, and is replaced by the next snapshot", zap.Error(err))
+		log.Warn("state: state file can't be moved aside; the next snapshot replaces it", zap.Error(err))
 	}
 }
 
-// chooseEndpoints decides between the stored and the configured endpoint list.
+// chooseEndpoints chooses between the stored and the configured endpoint list. With gossip it also adds the stored peers to
+// the seeds.
 func chooseEndpoints(
 	config *Config, stored *snapshot.Snapshot, storedList *wire.EndpointList, log *zap.Logger,
 ) restoredState {
@@ -106,7 +108,7 @@
 	return restored
 }
 
-// addSeeds adds stored addresses of peers to the gossip seeds: some of these proxies may still be there.
+// addSeeds adds stored addresses of peers to the gossip seeds: some of these proxies may still be running.
 func addSeeds(config *Config, addresses []string) {
 	for _, address := range addresses[:min(len(addresses), maxRestoredSeeds)] {
 		if !slices.Contains(config.Gossip.Seeds, address) {
@@ -115,8 +117,8 @@
 	}
 }
 
-// withDrained returns the endpoints with those of some names not ready, as a list of a version before any of
-// discovery's. It changes endpoints.
+// withDrained returns a list of the endpoints in which those with the given names are not ready. Its index is 0, lower than
+// any index of discovery. It modifies endpoints.
 func withDrained(endpoints []wire.Endpoint, drained []string) *wire.EndpointList {
 	for i := range endpoints {
 		if slices.Contains(drained, endpoints[i].Name) {
@@ -126,7 +128,7 @@
 	return &wire.EndpointList{Whole: true, Endpoints: endpoints}
 }
 
-// recoveryLines converts endpoints to what the recovery module compares.
+// recoveryLines converts endpoints to the type of the recovery module.
 func recoveryLines(targets []wire.Endpoint) []recovery.Endpoint {
 	lines := make([]recovery.Endpoint, 0, len(targets))
 	for _, target := range targets {
--- a/internal/server/shadow.go
+++ b/internal/server/shadow.go
@@ -10,10 +10,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// readShadowSettings reads the settings merged with the object under watch, which replaces some of them; it returns
-// nil where there is no such object. Routes, tenants, zones and the origin's kind have to be the same ones in the same
-// order, since the shadow balancer is given the same requests by their indices. The settings in the document are
-// changed by the merge.
+// readShadowSettings reads the settings of the shadow balancer: those of the document, merged with the object under watch,
+// which overrides some of them. It returns nil if there is no such object. Routes, tenants, zones and the kind of the origin
+// must be the same as in the active settings, in the same order, because the shadow balancer receives the same requests,
+// which refer to them by index. The merge modifies the settings in the document.
 func readShadowSettings(document *fastjson.Value, active *settings.Settings) (*settings.Settings, error) {
 	override := document.Get("watch")
 	if isNull(override) {
@@ -44,7 +44,7 @@
 	return shadow, nil
 }
 
-// mergeObject sets each key of override in target; where both hold an object, these are merged in turn.
+// mergeObject sets each key of override in target. If both hold an object for a key, these are merged recursively.
 func mergeObject(target, override *fastjson.Value) {
 	override.GetObject().Visit(func(key []byte, value *fastjson.Value) {
 		existing := target.Get(string(key))
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// acceptGrace is how long clients are accepted after the signal to stop, while others learn that the proxy leaves.
+	// acceptGrace is the time after the signal to stop during which clients are still accepted, while the other processes
+	// are notified that the proxy leaves.
 	acceptGrace = 450 * time.Millisecond
 
-	// Supervisors kill a process that was told to stop no sooner than after the longest overall timeout, bounded by
-	// maxOverallWait, and 0.7 s more. All requests are answered answerMargin after that timeout, a little before.
+	// A supervisor kills a stopping process at the earliest after the longest overall timeout, limited to maxOverallWait,
+	// plus 0.7 s. All requests are answered earlier: after the same timeout plus answerMargin.
 	maxOverallWait = 3 * time.Second
 	answerMargin   = 400 * time.Millisecond
 
-	// writeGrace is for answers that are still being written by then, where the process is not killed.
+	// writeGrace is additional time for replies that are still being written by then, if the process is not killed.
 	writeGrace = 1500 * time.Millisecond
 
 	tenthOfMillisecond = 100 * time.Microsecond
 )
 
-// answerTimeout returns how long after the signal to stop all requests are answered; longest is the longest overall
-// timeout of a route.
+// answerTimeout returns the time after the signal to stop within which all requests are answered. The argument is the
+// longest overall timeout of all routes.
 func answerTimeout(longest balancer.Time) time.Duration {
 	return min(time.Duration(longest)*tenthOfMillisecond, maxOverallWait) + answerMargin
 }
 
-// drainSchedule returns when connections are closed once no client is accepted any more, within the time that
-// remains. Clients go on using connections that stay open. Without a successor they lose a proxy, so they are served
-// for longer.
+// drainSchedule returns the times at which client connections are closed, relative to the closing of the listener and
+// within the remaining time. Clients continue to use open connections. Without a successor the clients lose a proxy, so
+// they are served for longer.
 func drainSchedule(hasSuccessor bool, remaining time.Duration) proxy.DrainSchedule {
 	schedule := proxy.DrainSchedule{CloseAfterReply: 500 * time.Millisecond, CloseIdle: 800 * time.Millisecond, StopReading: time.Second}
 	if hasSuccessor {
@@ -44,19 +45,20 @@
 	return schedule
 }
 
-// shutDown drains clients and leaves the fleet. The configuration is the one in effect.
+// shutDown drains clients and leaves the fleet. The argument is the configuration in effect.
 func (s *server) shutDown(config *Config) {
 	hasSuccessor := s.successors.SuccessorCount() > 0
 	s.log.Info("stopping", zap.Bool("replaced", hasSuccessor))
 	s.admin.stopping.Store(true)
 
 	gossipStopped := make(chan struct{})
-	stopGossip := func() { // waits for what is being sent to peers
+	stopGossip := func() { // blocks until pending rows were sent to the peers
 		s.gossip.stop(hasSuccessor)
 		close(gossipStopped)
 	}
-	// The others have to hear of writes until the last one where there is a negative cache. A successor begins to gossip
-	// once this process has exited, and the name would be silent for as long as clients are served.
+	// With a negative cache, gossip runs until the end, because the other proxies must receive reports of all writes. With
+	// a successor it does so too: the successor starts gossip only after this process has exited, and without gossip this
+	// name would send no heartbeats while clients are still served.
 	stopsEarly := !hasSuccessor && config.NegativeCache == nil
 	if stopsEarly {
 		go stopGossip()
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -13,12 +13,13 @@
 	"go.uber.org/zap"
 )
 
-// snapshotInterval is the time between two writes of the state file, where something changed.
+// snapshotInterval is the minimum time between two writes of the state file.
 const snapshotInterval = time.Second
 
-// snapshotWriter stores the endpoint list and the addresses of peers for the next start. It is used by one goroutine.
+// snapshotWriter stores the endpoint list and the addresses of peers for the next start. Its methods are called by a single
+// goroutine; writes run on goroutines of their own, one at a time.
 type snapshotWriter struct {
-	save      func(*snapshot.Snapshot) error // nil: no state is stored
+	save      func(*snapshot.Snapshot) error // nil: there is no state file
 	config    *Config
 	gossip    *gossipAdapter
 	router    *proxy.Router
@@ -26,14 +27,14 @@
 	log       *zap.Logger
 
 	lastAttempt time.Time
-	saving      atomic.Bool   // a write is under way
-	savedDigest atomic.Uint64 // of the last snapshot that was written
-	failures    *atomic.Int64 // counts writes that failed
-	failing     bool          // the last write failed and was logged; used by the write that is under way
+	saving      atomic.Bool   // a write is running
+	savedDigest atomic.Uint64 // digest of the last snapshot that was written
+	failures    *atomic.Int64 // counter of failed writes
+	failing     bool          // the last write failed and was logged; accessed by the running write only
 }
 
-// saveIfDue writes a snapshot once an interval, where it differs from the last one. A failed write is tried again each
-// interval and logged once.
+// saveIfDue writes a snapshot if snapshotInterval has passed since the last call that did so, and the snapshot differs from
+// the last one written. A failed write is retried in each interval; only the first failure in a row is logged.
 func (w *snapshotWriter) saveIfDue() {
 	if w.save == nil || time.Since(w.lastAttempt) < snapshotInterval {
 		return
@@ -46,14 +47,14 @@
 	w.write(current)
 }
 
-// write begins to save a snapshot that differs from the last one. It does not wait for the disk, and does nothing while
-// that is still busy with the one before.
+// write starts to write a snapshot if it differs from the last one written. It does not wait for the disk, and does nothing
+// while the previous write is still running.
 func (w *snapshotWriter) write(current *snapshot.Snapshot) {
 	digest := snapshotDigest(current)
 	if digest == w.savedDigest.Load() || !w.saving.CompareAndSwap(false, true) {
 		return
 	}
-	go func() { // ends as the disk answers; a process that exits before leaves the file before
+	go func() { // ends when the write ends; if the process exits earlier, the previous state file remains
 		defer w.saving.Store(false)
 		err := w.save(current)
 		if err == nil {
@@ -69,7 +70,7 @@
 	}()
 }
 
-// take returns the current snapshot; nil if there is no endpoint list yet, or the router is too busy to return it.
+// take returns a snapshot of the current state, or nil if there is no endpoint list yet or the router is too busy.
 func (w *snapshotWriter) take() *snapshot.Snapshot {
 	version := w.endpoints.LatestIndex()
 	targets := w.router.Endpoints()
@@ -96,7 +97,7 @@
 	return current
 }
 
-// snapshotDigest is a digest of what is worth a write; the time is not.
+// snapshotDigest returns a digest of a snapshot. It excludes the time, whose change alone does not require a write.
 func snapshotDigest(s *snapshot.Snapshot) uint64 {
 	return xxhash.Sum64(append(fmt.Append(nil, s.EndpointListIndex, s.PeerAddresses), s.EndpointList...))
 }
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -15,45 +15,45 @@
 	"go.uber.org/zap"
 )
 
-// discoveryWait is how long clients wait for discovery's endpoint list at the start; after that the last known list is
-// used.
+// discoveryWait is the maximum time at the start for which clients wait for the endpoint list from discovery. After that
+// the last known list is used.
 const discoveryWait = time.Second
 
-// server is one running proxy process. Its parts are made by build in the order of its fields, and are not changed
-// after that.
+// server is one running proxy process. Its parts are created by build in the order of the fields, and do not change after
+// that.
 type server struct {
-	config *Config // as of the start; reloads do not change it
+	config *Config // configuration at the start; reloads do not change it
 	log    *zap.Logger
 
-	predecessor    *hotrestart.Predecessor // nil: this process replaces none
+	predecessor    *hotrestart.Predecessor // nil: there is no predecessor
 	counters       *proxy.Counters
 	router         *proxy.Router
 	endpoints      *proxy.EndpointList
 	gossip         *gossipAdapter
 	clientListener *proxy.Listener
 	admin          *adminService
-	adminServer    *admin.Server    // nil: there is no admin API
-	recovery       *recoveryTracker // nil: the process goes through no stages of recovery
+	adminServer    *admin.Server    // nil: no admin API
+	recovery       *recoveryTracker // nil: recovery is not tracked
 	resources      *resourceBudget
 	successors     *hotrestart.Server
 
-	ctx    context.Context // ends with Serve
+	ctx    context.Context // canceled when Serve returns
 	cancel context.CancelFunc
 
-	inheritedList bool // the endpoint list is the predecessor's, and as current as it can be
+	inheritedList bool // the endpoint list is inherited from the predecessor, and up to date
 }
 
-// Signals are the signals to the process, each kind on a channel of its own: none has to wait for another. A channel
-// may be nil.
+// Signals are the channels for the signals to the process. Each kind has a channel of its own, so that a pending signal of
+// one kind does not delay another. A channel may be nil.
 type Signals struct {
-	Stop        <-chan os.Signal // drain clients and exit
-	Reload      <-chan os.Signal // apply the configuration anew
-	LogCounters <-chan os.Signal
+	Stop        <-chan os.Signal // requests to drain clients and exit
+	Reload      <-chan os.Signal // requests to read and apply the configuration again
+	LogCounters <-chan os.Signal // requests to log the counters
 }
 
-// Serve runs the proxy until a signal tells it to stop, and returns once clients were drained. A reload applies the
-// configuration that reread returns; one that is bad is logged and changes nothing. An error means that the proxy could
-// not start.
+// Serve runs the proxy until the signal to stop, and returns after clients were drained. A reload applies the configuration
+// that reread returns; an error of reread is logged and changes nothing. Serve returns an error if the proxy could not
+// start.
 func Serve(config *Config, reread func() (*Config, error), log *zap.Logger, signals Signals) error {
 	s, err := newServer(config, log)
 	if err != nil {
@@ -65,16 +65,16 @@
 	if s.recovery != nil {
 		defer s.recovery.stop()
 	}
-	go s.openForClients() // the process may be told to stop meanwhile
+	go s.openForClients() // a signal to stop may arrive meanwhile
 	latest := s.handleSignals(reread, signals)
 	s.shutDown(latest)
 	return nil
 }
 
-// newServer opens the listener and makes all parts of the proxy. Gossip, the admin API and the actors of the negative
-// cache and the duties are running then; what serves clients is started by run.
+// newServer opens the listener and creates all parts of the proxy. It starts gossip, the admin API and the actors of the
+// negative cache and the duties. The parts that serve clients are started by run.
 func newServer(config *Config, log *zap.Logger) (*server, error) {
-	// before a predecessor passes anything on, which serves on if this process can't start
+	// This comes before the listener is inherited: if this process can't start, the predecessor continues to serve.
 	if err := retryStart(func() error { return CheckManagementAddress(config.Management) }); err != nil {
 		return nil, err
 	}
@@ -96,6 +96,7 @@
 	return s, nil
 }
 
+// build creates the parts of the server for the client listener.
 func (s *server) build(listener *net.TCPListener) error {
 	sockets := divideSockets(s.config.Sockets)
 	s.buildRouter(sockets)
@@ -118,7 +119,7 @@
 		memoryMB:       s.config.MemoryMB,
 	}
 	s.resources.update(func(b *resourceBudget) { b.hasPredecessor = s.predecessor != nil })
-	if s.predecessor == nil { // else the gossip address is free once that process has exited
+	if s.predecessor == nil { // otherwise the gossip address is in use until the predecessor has exited
 		if err := retryStart(s.gossip.start); err != nil {
 			return err
 		}
@@ -138,17 +139,18 @@
 	}
 }
 
-// buildEndpoints makes the endpoint list. It starts with the predecessor's list, or else with the known one.
+// buildEndpoints creates the endpoint list. It starts with the list of the predecessor, or with the known list if none is
+// inherited.
 func (s *server) buildEndpoints(known *wire.EndpointList) {
 	if inherited := inheritedEndpoints(s.predecessor, s.log); inherited != nil {
 		known, s.inheritedList = inherited, true
 	}
 	s.endpoints = proxy.NewEndpointList(s.config.Discovery, known, s.router, s.config.Seed, s.counters, s.log)
-	s.config.KnownEndpoints = nil // the router has it by now
+	s.config.KnownEndpoints = nil // releases the memory: the router has applied the list
 }
 
-// buildGossip makes the connection to the other proxies, and the modules that use it. The actors of the negative cache
-// and the duties have no stop: they run for as long as the process does.
+// buildGossip creates the gossip adapter and the modules that use it. The actors of the negative cache and the duties can't
+// be stopped: they run until the process exits.
 func (s *server) buildGossip() {
 	config, sender := s.config, &gossipSender{}
 	s.gossip = &gossipAdapter{
@@ -183,7 +185,7 @@
 	}
 }
 
-// buildAdmin makes what operators call, and listens for them where an address is configured.
+// buildAdmin creates the admin service, and the admin server if an address is configured for it.
 func (s *server) buildAdmin() error {
 	s.admin = &adminService{
 		clientListener: s.clientListener,
@@ -214,7 +216,7 @@
 	}
 }
 
-// run starts the goroutines of the data path and of recovery.
+// run starts the goroutines of the data path, of recovery and of the wall clock check.
 func (s *server) run() {
 	go s.router.Run()
 	go s.endpoints.Run()
@@ -227,8 +229,8 @@
 		zap.Int("sockets", s.config.Sockets), zap.Bool("replaces", s.predecessor != nil))
 }
 
-// openForClients opens the proxy for clients once it has an endpoint list, and then waits for the end of the process
-// that this one replaces, which may run for longer than this one.
+// openForClients opens the proxy for clients once it has an endpoint list, and then waits until the predecessor has exited.
+// The predecessor may run for longer than this process.
 func (s *server) openForClients() {
 	s.awaitEndpoints()
 	s.clientListener.Open()
@@ -237,7 +239,8 @@
 	}
 }
 
-// awaitEndpoints waits for discovery's endpoint list. An inherited one is as current, so that there is no wait.
+// awaitEndpoints waits up to discoveryWait for the endpoint list from discovery. It does not wait if the list is inherited,
+// because an inherited list is up to date.
 func (s *server) awaitEndpoints() {
 	wait := discoveryWait
 	if s.inheritedList {
--- a/internal/server/zonehealth.go
+++ b/internal/server/zonehealth.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// autoOverrideTTL is how long an override that cancels another one is replicated: longer than a proxy is away that
-	// may still have the cancelled one.
+	// autoOverrideTTL is the time for which an override that cancels another one is replicated. It exceeds the time for
+	// which a proxy that still has the canceled override may be unreachable.
 	autoOverrideTTL = 24 * 3600 * replica.Second
 
-	maxIssuerLength   = 128 // bytes of the name of the proxy that took an override
-	maxReportersShown = 8
+	maxIssuerLength   = 128 // maximum length in bytes of the name of the proxy that received an override
+	maxReportersShown = 8   // maximum number of unhealthy voters in the status of a zone
 )
 
 var errZoneHealthOff = errors.New("zones are not judged: no file of zones is named")
 
-// zoneHealthAdapter exchanges reports on zones and operators' overrides with the other proxies, and answers operators'
-// calls on zones. Its receiving methods accept a nil adapter and do nothing then.
+// zoneHealthAdapter exchanges reports on zones and operators' overrides with the other proxies, and handles operators'
+// calls that concern zones. A nil adapter is valid if zones are not evacuated: its receiving methods do nothing, override
+// returns an error and statusText an empty string.
 type zoneHealthAdapter struct {
 	sender    *gossipSender
 	router    *proxy.Router
@@ -36,15 +37,15 @@
 	log       *zap.Logger
 }
 
-// publishReport sends what this proxy reports on a zone.
+// publishReport sends this proxy's report on a zone to the other proxies.
 func (z *zoneHealthAdapter) publishReport(zone string, report zonehealth.Report, ttl zonehealth.Time) {
 	z.sender.publish(replica.KindZoneReport, zone, replica.Time(ttl), &report)
 }
 
-// cooperates tells whether zones are judged with the other proxies.
+// cooperates reports whether verdicts on zones are reached together with the other proxies.
 func (z *zoneHealthAdapter) cooperates() bool { return z != nil && !z.config.WithoutPeers }
 
-// receiveReport passes on another proxy's report; one that can't be decoded is dropped.
+// receiveReport passes another proxy's report to the router. A report that can't be decoded is dropped.
 func (z *zoneHealthAdapter) receiveReport(row *replica.Row) {
 	var report zonehealth.Report
 	if !z.cooperates() || rowcodec.Decode(row.Body, &report) != nil {
@@ -53,7 +54,7 @@
 	z.router.ReceiveZoneVote(row.Writer, row.Key, report, zonehealth.Time(row.Age), zonehealth.Time(row.TTL))
 }
 
-// receiveOverride passes on an override that another proxy took from an operator.
+// receiveOverride passes an override that another proxy received from an operator to the router.
 func (z *zoneHealthAdapter) receiveOverride(row *replica.Row) {
 	if z == nil {
 		return
@@ -67,7 +68,7 @@
 	})
 }
 
-// updateMembers passes on the members of the fleet.
+// updateMembers passes the members of the fleet to the router.
 func (z *zoneHealthAdapter) updateMembers(members []replica.Member, catchingUp bool) {
 	if !z.cooperates() {
 		return
@@ -82,9 +83,9 @@
 	z.router.SetZoneMembers(fleet, catchingUp)
 }
 
-// override applies an operator's order to a zone, or to each zone of a region, and replicates it. The epoch is that of
-// the override to replace; below zero: whichever is in force. It returns the lines for the operator; an error says why
-// nothing has changed.
+// override applies an operator's override to a zone, or to each zone of a region, and replicates it. The epoch is that of
+// the override to replace; a negative epoch replaces the current override. It returns a line for the operator for each
+// zone. An error states why an override was not applied; in a region, zones before the one at fault keep the new override.
 func (z *zoneHealthAdapter) override(name, want string, epoch int64, force bool) (string, error) {
 	if z == nil {
 		return "", errZoneHealthOff
@@ -104,7 +105,7 @@
 			Zone: zone, Mode: wanted, Epoch: status[i].Override.Epoch + 1, Proxy: z.proxyName, Force: force,
 		}
 		if !z.router.OverrideZone(order) {
-			return "", fmt.Errorf("zone %q: too busy to take it; nothing has changed there", zone)
+			return "", fmt.Errorf("zone %q: too busy to apply the override; the zone is unchanged", zone)
 		}
 		z.sender.publishShared(overrideRow(&order))
 		fmt.Fprintf(&text, "zone %s: %s, order %d\n", zone, wanted, order.Epoch)
@@ -127,7 +128,7 @@
 	return row
 }
 
-// statusText returns the answer to GET /control/zones; empty if zones are not judged.
+// statusText returns the response to GET /control/zones; it is empty if zone health is not configured.
 func (z *zoneHealthAdapter) statusText() string {
 	if z == nil {
 		return ""
@@ -140,7 +141,7 @@
 	return text.String()
 }
 
-// writeZoneStatus writes the line of one zone.
+// writeZoneStatus writes the status line of one zone.
 func writeZoneStatus(text *strings.Builder, zone *zonehealth.ZoneStatus) {
 	state := zone.Verdict.State.String()
 	switch {
--- a/internal/server/zonehealthfile.go
+++ b/internal/server/zonehealthfile.go
@@ -10,20 +10,21 @@
 
 const (
 	maxZoneNameLength = 100 // bytes
-	minRegionZones    = 2
+	minRegionZones    = 2   // minimum number of zones in a region
 
-	minQuietMS    = 50
-	maxShortMS    = 60_000    // of quiet_ms and settle_ms: a minute
-	minLongMS     = 100       // of hold_ms and step_ms
-	maxLongMS     = 3_600_000 // of hold_ms, most_hold_ms and step_ms: an hour
-	quietFraction = 0.6       // of the shortest latency objective, where quiet_ms is left out
+	minQuietMS    = 50        // minimum of quiet_ms
+	maxShortMS    = 60_000    // maximum of quiet_ms and settle_ms: a minute
+	minLongMS     = 100       // minimum of hold_ms and step_ms
+	maxLongMS     = 3_600_000 // maximum of hold_ms, most_hold_ms and step_ms: an hour
+	quietFraction = 0.6       // fraction of the shortest latency objective; default of quiet_ms
 )
 
 // zoneHealthFile is the format of the zone health file (deploy/zones.toml). Times are in milliseconds.
 type zoneHealthFile struct {
-	// Zone is that of this proxy where the settings have no locality; the same file serves all proxies where they do.
+	// Zone is the zone of this proxy if the settings have no locality. If they have one, all proxies can use the same file.
 	Zone string `toml:"zone"`
-	// Zones are those that nodes may have; where none is named, those that discovery reports.
+	// Zones are the zones that nodes may have. If there are none, the zones of the settings apply, and
+	// if these have none either, nodes may have any zone.
 	Zones   []string     `toml:"zones"`
 	Regions []regionFile `toml:"region"`
 
@@ -43,7 +44,7 @@
 	Zones []string `toml:"zones"`
 }
 
-// readZoneHealthFile reads the zone health file of the proxy of that name.
+// readZoneHealthFile reads the zone health file for the proxy with the given name.
 func readZoneHealthFile(file, name string, proxySettings *settings.Settings) (*zonehealth.Settings, error) {
 	values := &zoneHealthFile{
 		ReportFraction: 0.2,
@@ -65,7 +66,7 @@
 	return terms, nil
 }
 
-// terms checks the values, which may set a default that depends on the settings, and converts them.
+// terms validates the values and converts them. It first sets the default of quiet_ms, which depends on the settings.
 func (f *zoneHealthFile) terms(name string, proxySettings *settings.Settings) (*zonehealth.Settings, error) {
 	shortest := shortestObjective[zonehealth.Time](proxySettings)
 	if f.QuietMS == 0 {
@@ -107,7 +108,7 @@
 	}, nil
 }
 
-// checkRanges checks numbers in the order of the keys in the file's documentation.
+// checkRanges checks the ranges of the numbers, in the order of the keys in deploy/zones.toml.
 func (f *zoneHealthFile) checkRanges() error {
 	for _, number := range []struct {
 		key               string
@@ -127,7 +128,8 @@
 	return nil
 }
 
-// allowedZones returns the zones that nodes may have, empty if any: those of the file, or else of the settings.
+// allowedZones returns the zones that nodes may have: those of the file, or those of the settings if the file has none. It
+// is empty if all zones are allowed.
 func (f *zoneHealthFile) allowedZones(proxySettings *settings.Settings) ([]string, error) {
 	if len(f.Zones) == 0 {
 		var allowed []string
@@ -153,7 +155,8 @@
 	return f.Zones, nil
 }
 
-// regions checks that names differ from one another and from zones, and that a zone is in one region at most.
+// regions validates and converts the regions. Their names must differ from one another and from the names of zones, and a
+// zone may be in at most one region.
 func (f *zoneHealthFile) regions(allowed []string) ([]zonehealth.Region, error) {
 	var regions []zonehealth.Region
 	regionNames, regionOfZone := map[string]bool{}, map[string]string{}
