--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -36,8 +36,8 @@
 		return true, "ready; catching up with peers"
 	}
 	if s.recovery != nil {
-		if figures := s.recovery.figures(); figures.Stage != recovery.StageFull.String() {
-			return true, "ready; " + figures.Stage + ", since " + figures.Reason
+		if status := s.recovery.status(); status.Stage != recovery.StageFull.String() {
+			return true, "ready; " + status.Stage + ", since " + status.Reason
 		}
 	}
 	return true, "ready"
@@ -75,7 +75,7 @@
 	if s.recovery == nil {
 		return nil
 	}
-	return s.recovery.figures()
+	return s.recovery.status()
 }
 
 // NegativeCacheStatus returns the statistics of the negative cache; nil if there is no negative cache.
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -132,7 +132,7 @@
 		}
 	}
 	if c.Management == c.Listen {
-		return fmt.Errorf("configuration: management: same address as listen: %q", c.Management)
+		return fmt.Errorf("configuration: management: the address of listen: %q", c.Management)
 	}
 	if c.Sockets < minSockets {
 		return fmt.Errorf("configuration: limits.sockets: fewer than %d", minSockets)
--- a/internal/server/dutiesfile.go
+++ b/internal/server/dutiesfile.go
@@ -31,9 +31,9 @@
 		HeartbeatMS:       700,
 		HeartbeatExpiryMS: 2500,
 	}
-	terms := &duties.Settings{}
+	policy := &duties.Settings{}
 	err := readPolicyFile("turns", file, values, func() error {
-		*terms = duties.Settings{
+		*policy = duties.Settings{
 			Self:              config.Name,
 			Watchers:          values.Watchers,
 			IdleOwners:        values.IdleConnOwners,
@@ -43,10 +43,10 @@
 			HeartbeatInterval: tenths[duties.Time](values.HeartbeatMS),
 			LeaseDuration:     tenths[duties.Time](values.HeartbeatExpiryMS),
 		}
-		return terms.Check()
+		return policy.Check()
 	})
 	if err != nil {
 		return nil, err
 	}
-	return terms, nil
+	return policy, nil
 }
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -21,31 +21,31 @@
 // gossipSender publishes rows to the other proxies. While gossip does not run, rows are dropped: current state is
 // published repeatedly. Its methods may be called from any goroutine and do not block.
 type gossipSender struct {
-	talker atomic.Pointer[gossip.Agent] // nil: gossip does not run
+	agent atomic.Pointer[gossip.Agent] // nil: gossip does not run
 }
 
 // publish sends a row that this proxy owns. A row whose body can't be encoded is dropped.
 func (s *gossipSender) publish(kind replica.Kind, key string, ttl replica.Time, body any) {
-	talker := s.talker.Load()
-	if talker == nil {
+	agent := s.agent.Load()
+	if agent == nil {
 		return
 	}
 	if encoded, err := msgpack.Marshal(body); err == nil {
-		talker.PublishOwnRow(kind, key, ttl, encoded)
+		agent.PublishOwnRow(kind, key, ttl, encoded)
 	}
 }
 
 // publishShared sends a row that is not owned by a single proxy.
 func (s *gossipSender) publishShared(row replica.Row) {
-	if talker := s.talker.Load(); talker != nil {
-		talker.PublishSharedRow(row)
+	if agent := s.agent.Load(); agent != nil {
+		agent.PublishSharedRow(row)
 	}
 }
 
 // status returns the status of gossip; nil if it does not run.
 func (s *gossipSender) status() *gossip.Status {
-	if talker := s.talker.Load(); talker != nil {
-		return talker.Status()
+	if agent := s.agent.Load(); agent != nil {
+		return agent.Status()
 	}
 	return nil
 }
@@ -76,15 +76,15 @@
 		return nil
 	}
 	observationTTL := observationObjectives * shortestObjective[replica.Time](config.Settings)
-	talker, err := gossip.Start(config.Gossip, config.Name, config.Zone(), config.proxies(), observationTTL, config.Seed,
+	agent, err := gossip.Start(config.Gossip, config.Name, config.Zone(), config.proxies(), observationTTL, config.Seed,
 		g, g.log)
 	if err != nil {
 		return err
 	}
 	g.router.SetQuotaShare(config.Gossip.QuotaFloor / float64(config.proxies()))
-	g.sender.talker.Store(talker)
-	if version := g.listIndex.Load(); version > 0 { // discovery sent a list before gossip was started
-		talker.PublishEndpoints(version, true, g.router.Endpoints())
+	g.sender.agent.Store(agent)
+	if index := g.listIndex.Load(); index > 0 { // discovery sent a list before gossip was started
+		agent.PublishEndpoints(index, true, g.router.Endpoints())
 	}
 	return nil
 }
@@ -92,24 +92,24 @@
 // stop leaves the fleet. If a successor continues under the same name, no departure is announced to the other proxies.
 // It waits until the goroutines of the agent have ended.
 func (g *gossipAdapter) stop(hasSuccessor bool) {
-	if talker := g.sender.talker.Load(); talker != nil {
-		talker.SetReplaced(hasSuccessor)
-		talker.Close()
+	if agent := g.sender.agent.Load(); agent != nil {
+		agent.SetReplaced(hasSuccessor)
+		agent.Close()
 	}
 }
 
 // publishEndpoints sends a complete endpoint list from discovery, or changes of it.
-func (g *gossipAdapter) publishEndpoints(version int64, complete bool, targets []wire.Endpoint) {
-	g.listIndex.Store(version)
-	if talker := g.sender.talker.Load(); talker != nil {
-		talker.PublishEndpoints(version, complete, targets)
+func (g *gossipAdapter) publishEndpoints(index int64, complete bool, endpoints []wire.Endpoint) {
+	g.listIndex.Store(index)
+	if agent := g.sender.agent.Load(); agent != nil {
+		agent.PublishEndpoints(index, complete, endpoints)
 	}
 }
 
 // publishObservation sends this proxy's observation that a node does not respond, or responds again.
-func (g *gossipAdapter) publishObservation(node string, answers bool) {
-	if talker := g.sender.talker.Load(); talker != nil {
-		talker.PublishHealth(node, answers)
+func (g *gossipAdapter) publishObservation(node string, responds bool) {
+	if agent := g.sender.agent.Load(); agent != nil {
+		agent.PublishHealth(node, responds)
 	}
 }
 
@@ -120,13 +120,13 @@
 }
 
 // EndpointChanged passes an endpoint that a peer received from discovery to the endpoint list.
-func (g *gossipAdapter) EndpointChanged(index int64, target wire.Endpoint) {
-	g.endpoints.ReceivePeerUpdate(index, target)
+func (g *gossipAdapter) EndpointChanged(index int64, endpoint wire.Endpoint) {
+	g.endpoints.ReceivePeerUpdate(index, endpoint)
 }
 
 // HealthReported passes a peer's observation that a node does not respond, or responds again, to the router.
-func (g *gossipAdapter) HealthReported(node string, answers bool) {
-	g.router.ReceivePeerReport(node, answers)
+func (g *gossipAdapter) HealthReported(node string, responds bool) {
+	g.router.ReceivePeerReport(node, responds)
 }
 
 // QuotaShareChanged passes this proxy's fraction of the fleet's quota, from 0 to 1, to the router.
@@ -185,17 +185,17 @@
 
 // statusText returns the response to GET /control/peers; it is empty if gossip does not run.
 func (g *gossipAdapter) statusText() string {
-	talker := g.sender.talker.Load()
-	if talker == nil {
+	agent := g.sender.agent.Load()
+	if agent == nil {
 		return ""
 	}
-	status := talker.Status()
+	status := agent.Status()
 	var text strings.Builder
 	fmt.Fprintf(&text, "cluster %s, at %s; behind %v, share %.6f\n",
 		g.config.Gossip.Cluster, g.config.Gossip.Advertise, status.CatchingUp, status.QuotaShare)
 	fmt.Fprintf(&text, "packets %d streams %d bytes-in %d bytes-out %d dropped %d bad %d refused %d probes %d\n",
-		talker.PacketsReceived.Load(), talker.StreamsAccepted.Load(), talker.BytesIn.Load(), talker.BytesOut.Load(),
-		talker.Dropped.Load(), talker.Faults.Load(), status.RejectedRows, talker.ConnectProbes.Load())
+		agent.PacketsReceived.Load(), agent.StreamsAccepted.Load(), agent.BytesIn.Load(), agent.BytesOut.Load(),
+		agent.Dropped.Load(), agent.Faults.Load(), status.RejectedRows, agent.ConnectProbes.Load())
 	for kind := range 256 {
 		rows, ok := status.RowsByKind[replica.Kind(kind)]
 		if !ok {
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -34,7 +34,7 @@
 			log.Warn("listener not inherited from predecessor", zap.Error(err))
 		}
 	}
-	listener, err := listenPersistently(config.Listen, listenReusingPort)
+	listener, err := listenWithRetry(config.Listen, listenReusingPort)
 	if err != nil {
 		return nil, nil, fmt.Errorf("configuration: listen: %w", err)
 	}
@@ -58,8 +58,8 @@
 	}
 }
 
-// listenPersistently listens on an address, with retries after transient errors.
-func listenPersistently(address string, listen func(string) (*net.TCPListener, error)) (listener *net.TCPListener, err error) {
+// listenWithRetry listens on an address, with retries after transient errors.
+func listenWithRetry(address string, listen func(string) (*net.TCPListener, error)) (listener *net.TCPListener, err error) {
 	err = retryStart(func() error {
 		listener, err = listen(address)
 		return err
@@ -99,8 +99,8 @@
 
 // encodeEndpoints returns the current endpoint list in the format of discovery, or null if there is none.
 func (s *server) encodeEndpoints() []byte {
-	if targets := s.router.Endpoints(); targets != nil {
-		return wire.AppendEndpointList(nil, targets)
+	if endpoints := s.router.Endpoints(); endpoints != nil {
+		return wire.AppendEndpointList(nil, endpoints)
 	}
 	return []byte("null")
 }
--- a/internal/server/listener_test.go
+++ b/internal/server/listener_test.go
@@ -28,7 +28,7 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			listen, calls := failingListen(10, errno)
-			listener, err := listenPersistently("127.0.0.1:0", listen)
+			listener, err := listenWithRetry("127.0.0.1:0", listen)
 			if err != nil {
 				t.Fatalf("after %d calls: %v", *calls, err)
 			}
@@ -44,7 +44,7 @@
 	for _, errno := range []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EACCES} {
 		listen, calls := failingListen(1, errno)
 		began := time.Now()
-		if _, err := listenPersistently("127.0.0.1:0", listen); !errors.Is(err, errno) || *calls != 1 || time.Since(began) > time.Second {
+		if _, err := listenWithRetry("127.0.0.1:0", listen); !errors.Is(err, errno) || *calls != 1 || time.Since(began) > time.Second {
 			t.Errorf("%v after %d calls and %v", err, *calls, time.Since(began))
 		}
 	}
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -55,12 +55,12 @@
 			sink.counter(snakeCase(name), help, value)
 		}
 	})
-	sink.byReason(m.counters)
+	sink.labeledCounters(m.counters)
 	if m.gossip.duties != nil {
 		sink.duties(m.gossip.duties.actor.Stats())
 	}
 	if m.recovery != nil {
-		sink.recovery(m.recovery.figures())
+		sink.recovery(m.recovery.status())
 	}
 	if m.gossip.negativeCache != nil {
 		sink.negativeCache(m.gossip.negativeCache.actor.Stats())
@@ -86,9 +86,9 @@
 	s <- prometheus.MustNewConstMetric(prometheus.NewDesc(metricPrefix+name, help, nil, nil), kind, value)
 }
 
-// byReason sends the counters that have a label, for example the reason, invariant or system call, and further
+// labeledCounters sends the counters that have a label, for example the reason, invariant or system call, and further
 // statistics of the process.
-func (s metricSink) byReason(counters *proxy.Counters) {
+func (s metricSink) labeledCounters(counters *proxy.Counters) {
 	counters.EachReason(func(c proxy.ReasonCount) {
 		desc := prometheus.NewDesc(metricPrefix+c.Metric+"_total", c.Help, []string{c.Label}, nil)
 		s <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(c.Count), c.Value)
@@ -105,33 +105,33 @@
 	s.gauge("goroutines", "Goroutines of the process.", float64(runtime.NumGoroutine()))
 }
 
-func (s metricSink) duties(figures duties.Statistics) {
-	s.gauge("turns_here", "Proxies that duties are dealt out to.", float64(figures.Alive))
-	s.gauge("turns_watchers", "Proxies that said lately that their watch of discovery lives.", float64(figures.Watchers))
-	s.gauge("turns_kept_nodes", "Nodes to which this proxy keeps idle connections.", float64(figures.OwnedNodes))
-	s.gauge("turns_passed_nodes", "Nodes that this proxy passes over.", float64(figures.EjectedNodes))
-	s.counter("turns_trials", "Trials of silent nodes by this proxy.", figures.ProbesSent)
-	s.counter("turns_told", "Trials by others that were heard of.", figures.ReportsReceived)
-	s.counter("turns_twice", "Of these, such that came while one was out.", figures.DuplicateProbes)
-	s.counter("turns_refused", "Words of others that were out of their bounds.", figures.RejectedReports)
-	s.counter("turns_moved", "Nodes whose idle connections became this proxy's duty, or another's.", figures.OwnershipChanges)
+func (s metricSink) duties(stats duties.Statistics) {
+	s.gauge("turns_here", "Proxies that duties are dealt out to.", float64(stats.Alive))
+	s.gauge("turns_watchers", "Proxies that said lately that their watch of discovery lives.", float64(stats.Watchers))
+	s.gauge("turns_kept_nodes", "Nodes to which this proxy keeps idle connections.", float64(stats.OwnedNodes))
+	s.gauge("turns_passed_nodes", "Nodes that this proxy passes over.", float64(stats.EjectedNodes))
+	s.counter("turns_trials", "Trials of silent nodes by this proxy.", stats.ProbesSent)
+	s.counter("turns_told", "Trials by others that were heard of.", stats.ReportsReceived)
+	s.counter("turns_twice", "Of these, such that came while one was out.", stats.DuplicateProbes)
+	s.counter("turns_refused", "Words of others that were out of their bounds.", stats.RejectedReports)
+	s.counter("turns_moved", "Nodes whose idle connections became this proxy's duty, or another's.", stats.OwnershipChanges)
 }
 
-func (s metricSink) recovery(figures recovery.Status) {
+func (s metricSink) recovery(stats recovery.Status) {
 	s.gauge("recovery_full_seconds", "Time from the start until the proxy was full, 0: it is not yet.",
-		float64(figures.FullServiceAfterMS)/1000)
-	s.gauge("recovery_drained", "Nodes left alone by what was stored.", float64(figures.DrainingEndpoints))
+		float64(stats.FullServiceAfterMS)/1000)
+	s.gauge("recovery_drained", "Nodes left alone by what was stored.", float64(stats.DrainingEndpoints))
 }
 
-func (s metricSink) negativeCache(figures negativecache.Stats) {
-	believed := 0.0
-	if figures.Serving {
-		believed = 1
+func (s metricSink) negativeCache(stats negativecache.Stats) {
+	serving := 0.0
+	if stats.Serving {
+		serving = 1
 	}
-	s.gauge("missing_believed", "Whether missing keys are believed by now.", believed)
-	s.counter("missing_hits", "Look-ups answered by what is known to be missing.", figures.Hits)
-	s.counter("missing_put", "Missing keys that were taken.", figures.Stored)
-	s.counter("missing_cleared", "Times that all was forgotten.", figures.Flushes)
+	s.gauge("missing_believed", "Whether missing keys are believed by now.", serving)
+	s.counter("missing_hits", "Look-ups answered by what is known to be missing.", stats.Hits)
+	s.counter("missing_put", "Missing keys that were taken.", stats.Stored)
+	s.counter("missing_cleared", "Times that all was forgotten.", stats.Flushes)
 }
 
 // snakeCase converts the name of a counter in camel case to the name of a metric.
--- a/internal/server/negativecachefile.go
+++ b/internal/server/negativecachefile.go
@@ -22,9 +22,9 @@
 // proxies and there is no gossip: the proxy must receive the write reports of all other proxies.
 func readNegativeCacheFile(file string, config *Config) (*negativecache.Settings, error) {
 	values := &negativeCacheFile{Entries: 1 << 16, TTLSeconds: 10, GracePeriodMS: 2000, GrowPerSecond: 2000}
-	terms := &negativecache.Settings{}
+	policy := &negativecache.Settings{}
 	err := readPolicyFile("missing", file, values, func() error {
-		*terms = negativecache.Settings{
+		*policy = negativecache.Settings{
 			ProxyName:           config.Name,
 			Entries:             values.Entries,
 			TTL:                 tenths[negativecache.Time](values.TTLSeconds * 1000),
@@ -32,7 +32,7 @@
 			MaxNewKeysPerSecond: values.GrowPerSecond,
 			TenantCount:         len(config.Settings.Tenants),
 		}
-		if err := terms.Check(); err != nil {
+		if err := policy.Check(); err != nil {
 			return err
 		}
 		return values.checkTTL(config)
@@ -43,15 +43,15 @@
 	if proxies := config.Settings.Balancer.Proxies; config.Gossip == nil && proxies > 1 {
 		return nil, fmt.Errorf("missing: %w", &negativecache.NoPeersError{File: file, Proxies: proxies})
 	}
-	return terms, nil
+	return policy, nil
 }
 
 // checkTTL checks that the TTL is at least twice the longest overall timeout: a write may be executed until this timeout
 // ends, and the origin's responses for the written key are not cached before that.
 func (f *negativeCacheFile) checkTTL(config *Config) error {
-	least := 2 * float64(config.Settings.LongestTimeout) / float64(negativecache.Second)
-	if f.TTLSeconds < least {
-		return &negativecache.RangeError{Key: "believe_s", Value: f.TTLSeconds, Min: least, Max: maxTTLSeconds}
+	minTTL := 2 * float64(config.Settings.LongestTimeout) / float64(negativecache.Second)
+	if f.TTLSeconds < minTTL {
+		return &negativecache.RangeError{Key: "believe_s", Value: f.TTLSeconds, Min: minTTL, Max: maxTTLSeconds}
 	}
 	return nil
 }
--- a/internal/server/rebalancefile.go
+++ b/internal/server/rebalancefile.go
@@ -20,19 +20,19 @@
 // readRebalanceFile reads the rebalance file.
 func readRebalanceFile(file string) (*rebalance.Settings, error) {
 	values := &rebalanceFile{Slack: 0.1, MigrationsPerNode: 2, MigrationsTotal: 32}
-	terms := &rebalance.Settings{}
+	policy := &rebalance.Settings{}
 	err := readPolicyFile("moves", file, values, func() error {
-		*terms = rebalance.Settings{
+		*policy = rebalance.Settings{
 			Slack:                 values.Slack,
 			MaxMigrationsPerNode:  values.MigrationsPerNode,
 			MaxMigrations:         values.MigrationsTotal,
 			MaxSearchedPlacements: exactSearchLimit,
 			Yield:                 runtime.Gosched,
 		}
-		return terms.Check()
+		return policy.Check()
 	})
 	if err != nil {
 		return nil, err
 	}
-	return terms, nil
+	return policy, nil
 }
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -27,16 +27,16 @@
 	ended chan struct{} // closed when run returns
 
 	// Values of the counters up to which requests have been reported to the recovery module; used by run only.
-	completedSeen int64
-	failedSeen    int64
+	completedReported int64
+	failedReported    int64
 
-	mu       sync.Mutex
-	instance *recovery.Tracker // guarded by mu
+	mu      sync.Mutex
+	tracker *recovery.Tracker // guarded by mu
 }
 
 // newRecoveryTracker returns a tracker in the first stage of recovery.
 func newRecoveryTracker(s *server, restored restoredState) *recoveryTracker {
-	tracker := &recoveryTracker{
+	t := &recoveryTracker{
 		gossip:    s.gossip,
 		endpoints: s.endpoints,
 		counters:  s.counters,
@@ -47,12 +47,12 @@
 		ended:     make(chan struct{}),
 	}
 	if s.config.StateStore != nil {
-		tracker.writer.save = s.config.StateStore.Save
-		tracker.writer.failures = &s.counters.StateWriteFailures
+		t.writer.save = s.config.StateStore.Save
+		t.writer.failures = &s.counters.StateWriteFailures
 	}
-	terms := recovery.DefaultSettings(s.config.Gossip != nil)
-	tracker.instance = recovery.New(tracker.now(), terms, restored.outcome, restored.drained)
-	return tracker
+	settings := recovery.DefaultSettings(s.config.Gossip != nil)
+	t.tracker = recovery.New(t.now(), settings, restored.outcome, restored.draining)
+	return t
 }
 
 func (t *recoveryTracker) now() recovery.Time { return recovery.Time(t.clock.Now()) }
@@ -80,10 +80,10 @@
 func (t *recoveryTracker) tick() []recovery.StageChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.reportAnswers()
-	changes := t.instance.Tick(t.now())
+	t.reportFinishedRequests()
+	changes := t.tracker.Tick(t.now())
 	if t.endpoints.LatestIndex() > 0 {
-		changes = append(changes, t.instance.EndpointListReceived(t.now())...)
+		changes = append(changes, t.tracker.EndpointListReceived(t.now())...)
 	}
 	if status := t.gossip.sender.status(); status != nil {
 		alive := -1 // this proxy is a member too, and is not counted
@@ -92,19 +92,19 @@
 				alive++
 			}
 		}
-		changes = append(changes, t.instance.UpdatePeers(t.now(), alive, status.CatchingUp)...)
+		changes = append(changes, t.tracker.UpdatePeers(t.now(), alive, status.CatchingUp)...)
 	}
 	return changes
 }
 
-// reportAnswers reports the requests that have finished since the last call, and whether they were answered in time. The
-// caller holds the lock.
-func (t *recoveryTracker) reportAnswers() {
-	for ; t.completedSeen < t.counters.Completed.Load(); t.completedSeen++ {
-		t.instance.RequestFinished(true)
+// reportFinishedRequests reports the requests that have finished since the last call, and whether they were answered in
+// time. The caller holds the lock.
+func (t *recoveryTracker) reportFinishedRequests() {
+	for ; t.completedReported < t.counters.Completed.Load(); t.completedReported++ {
+		t.tracker.RequestFinished(true)
 	}
-	for ; t.failedSeen < t.counters.Shed.Load()+t.counters.Errored.Load(); t.failedSeen++ {
-		t.instance.RequestFinished(false)
+	for ; t.failedReported < t.counters.Shed.Load()+t.counters.Errored.Load(); t.failedReported++ {
+		t.tracker.RequestFinished(false)
 	}
 }
 
@@ -114,9 +114,9 @@
 	<-t.ended
 }
 
-// figures returns the status of recovery. It may be called from any goroutine.
-func (t *recoveryTracker) figures() recovery.Status {
+// status returns the status of recovery. It may be called from any goroutine.
+func (t *recoveryTracker) status() recovery.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.instance.Status(t.now())
+	return t.tracker.Status(t.now())
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -37,7 +37,7 @@
 				go read()
 			}
 		case result := <-results:
-			current = s.takeReread(current, result)
+			current = s.applyReread(current, result)
 			if reading = again; again {
 				again = false
 				go read()
@@ -46,9 +46,9 @@
 	}
 }
 
-// takeReread applies a configuration that was read again, and returns the configuration in effect. If reading failed, the
+// applyReread applies a configuration that was read again, and returns the configuration in effect. If reading failed, the
 // current configuration stays in effect.
-func (s *server) takeReread(current *Config, result rereadResult) *Config {
+func (s *server) applyReread(current *Config, result rereadResult) *Config {
 	if result.err != nil {
 		s.log.Error("configuration reload failed; the previous configuration stays in effect", zap.Error(result.err))
 		return current
--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -23,7 +23,7 @@
 const (
 	restoredNothing      = "nothing"
 	restoredUnreadable   = "unreadable, and put aside"
-	restoredLater        = "not to be read at the start"
+	restoredReadFailed   = "not to be read at the start"
 	restoredOtherCluster = "another fleet's"
 )
 
@@ -31,7 +31,7 @@
 type restoredState struct {
 	endpoints *wire.EndpointList // nil: none
 	outcome   string             // text for operators; empty if there is no state file
-	drained   int                // number of endpoints that are not used because they are draining in the stored list
+	draining  int                // number of endpoints that are not used because they are draining in the stored list
 }
 
 // restoreState compares the stored state with the configuration and returns the endpoint list to start with. Stored
@@ -43,16 +43,16 @@
 		return configured
 	}
 	stored, err := config.StateStore.Load()
-	var torn *snapshot.CorruptError
+	var corrupt *snapshot.CorruptError
 	switch {
-	case errors.As(err, &torn):
-		log.Warn("state: " + torn.Error())
+	case errors.As(err, &corrupt):
+		log.Warn("state: " + corrupt.Error())
 		moveAside(config.StateStore, log)
 		configured.outcome = restoredUnreadable
 		return configured
 	case err != nil:
 		log.Warn("state: " + err.Error())
-		configured.outcome = restoredLater
+		configured.outcome = restoredReadFailed
 		return configured
 	case stored == nil:
 		configured.outcome = restoredNothing
@@ -90,21 +90,24 @@
 	if configured == nil {
 		configured = &wire.EndpointList{}
 	}
-	use := recovery.SelectEndpointList(
-		recovery.StoredEndpointList{EndpointList: recovery.EndpointList{Index: stored.EndpointListIndex, Endpoints: recoveryLines(storedList.Endpoints)}, SavedAt: stored.SavedAt},
-		recovery.EndpointList{Index: configured.Index, Endpoints: recoveryLines(configured.Endpoints)},
+	selection := recovery.SelectEndpointList(
+		recovery.StoredEndpointList{
+			EndpointList: recovery.EndpointList{Index: stored.EndpointListIndex, Endpoints: recoveryEndpoints(storedList.Endpoints)},
+			SavedAt:      stored.SavedAt,
+		},
+		recovery.EndpointList{Index: configured.Index, Endpoints: recoveryEndpoints(configured.Endpoints)},
 		time.Now(), maxSnapshotAge)
 	if config.Gossip != nil {
 		addSeeds(config, stored.PeerAddresses)
 	}
-	restored := restoredState{endpoints: config.KnownEndpoints, outcome: use.Reason, drained: len(use.Draining)}
+	restored := restoredState{endpoints: config.KnownEndpoints, outcome: selection.Reason, draining: len(selection.Draining)}
 	switch {
-	case use.UseStored:
+	case selection.UseStored:
 		restored.endpoints = storedList
-	case len(use.Draining) > 0:
-		restored.endpoints = withDrained(configured.Endpoints, use.Draining)
+	case len(selection.Draining) > 0:
+		restored.endpoints = withDraining(configured.Endpoints, selection.Draining)
 	}
-	log.Info("state: "+use.Reason, zap.Bool("used", use.UseStored), zap.Strings("drained", use.Draining))
+	log.Info("state: "+selection.Reason, zap.Bool("used", selection.UseStored), zap.Strings("drained", selection.Draining))
 	return restored
 }
 
@@ -117,28 +120,28 @@
 	}
 }
 
-// withDrained returns a list of the endpoints in which those with the given names are not ready. Its index is 0, lower than
+// withDraining returns a list of the endpoints in which those with the given names are not ready. Its index is 0, lower than
 // any index of discovery. It modifies endpoints.
-func withDrained(endpoints []wire.Endpoint, drained []string) *wire.EndpointList {
+func withDraining(endpoints []wire.Endpoint, draining []string) *wire.EndpointList {
 	for i := range endpoints {
-		if slices.Contains(drained, endpoints[i].Name) {
+		if slices.Contains(draining, endpoints[i].Name) {
 			endpoints[i].Ready = false
 		}
 	}
 	return &wire.EndpointList{Whole: true, Endpoints: endpoints}
 }
 
-// recoveryLines converts endpoints to the type of the recovery module.
-func recoveryLines(targets []wire.Endpoint) []recovery.Endpoint {
-	lines := make([]recovery.Endpoint, 0, len(targets))
-	for _, target := range targets {
+// recoveryEndpoints converts endpoints to the type of the recovery module.
+func recoveryEndpoints(endpoints []wire.Endpoint) []recovery.Endpoint {
+	converted := make([]recovery.Endpoint, 0, len(endpoints))
+	for _, endpoint := range endpoints {
 		status := recovery.EndpointDraining
-		if target.Ready {
+		if endpoint.Ready {
 			status = recovery.EndpointReady
-		} else if target.Departed {
+		} else if endpoint.Departed {
 			status = recovery.EndpointRemoved
 		}
-		lines = append(lines, recovery.Endpoint{Name: target.Name, Status: status})
+		converted = append(converted, recovery.Endpoint{Name: endpoint.Name, Status: status})
 	}
-	return lines
+	return converted
 }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -15,9 +15,9 @@
 	acceptGrace = 450 * time.Millisecond
 
 	// A supervisor kills a stopping process at the earliest after the longest overall timeout, limited to maxOverallWait,
-	// plus 0.7 s. All requests are answered earlier: after the same timeout plus answerMargin.
+	// plus 0.7 s. All requests are answered earlier: after the same timeout plus replyMargin.
 	maxOverallWait = 3 * time.Second
-	answerMargin   = 400 * time.Millisecond
+	replyMargin    = 400 * time.Millisecond
 
 	// writeGrace is additional time for replies that are still being written by then, if the process is not killed.
 	writeGrace = 1500 * time.Millisecond
@@ -25,10 +25,10 @@
 	tenthOfMillisecond = 100 * time.Microsecond
 )
 
-// answerTimeout returns the time after the signal to stop within which all requests are answered. The argument is the
+// replyTimeout returns the time after the signal to stop within which all requests are answered. The argument is the
 // longest overall timeout of all routes.
-func answerTimeout(longest balancer.Time) time.Duration {
-	return min(time.Duration(longest)*tenthOfMillisecond, maxOverallWait) + answerMargin
+func replyTimeout(longest balancer.Time) time.Duration {
+	return min(time.Duration(longest)*tenthOfMillisecond, maxOverallWait) + replyMargin
 }
 
 // drainSchedule returns the times at which client connections are closed, relative to the closing of the listener and
@@ -64,7 +64,7 @@
 		go stopGossip()
 	}
 
-	remaining := answerTimeout(config.Settings.LongestTimeout)
+	remaining := replyTimeout(config.Settings.LongestTimeout)
 	s.router.FinishWithin(remaining)
 	deadline := time.Now().Add(remaining + writeGrace)
 	if !hasSuccessor {
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -58,7 +58,7 @@
 func TestDrainScheduleEndsBeforeKill(t *testing.T) {
 	for _, longest := range []balancer.Time{1, 1000, 8000, 30000, 600000} {
 		t.Run(fmt.Sprintf("overall timeout %v ms", float64(longest)/10), func(t *testing.T) {
-			remaining := answerTimeout(longest)
+			remaining := replyTimeout(longest)
 			killed := min(time.Duration(longest)*100*time.Microsecond, 3*time.Second) + 700*time.Millisecond
 			if remaining > killed-200*time.Millisecond {
 				t.Errorf("answered after %v, killed after %v", remaining, killed)
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -40,7 +40,7 @@
 		return
 	}
 	w.lastAttempt = time.Now()
-	current := w.take()
+	current := w.capture()
 	if current == nil {
 		return
 	}
@@ -70,18 +70,18 @@
 	}()
 }
 
-// take returns a snapshot of the current state, or nil if there is no endpoint list yet or the router is too busy.
-func (w *snapshotWriter) take() *snapshot.Snapshot {
-	version := w.endpoints.LatestIndex()
-	targets := w.router.Endpoints()
-	if version == 0 || len(targets) == 0 {
+// capture returns a snapshot of the current state, or nil if there is no endpoint list yet or the router is too busy.
+func (w *snapshotWriter) capture() *snapshot.Snapshot {
+	index := w.endpoints.LatestIndex()
+	endpoints := w.router.Endpoints()
+	if index == 0 || len(endpoints) == 0 {
 		return nil
 	}
 	current := &snapshot.Snapshot{
 		Cluster:           w.config.cluster(),
 		SavedAt:           time.Now(),
-		EndpointListIndex: version,
-		EndpointList:      wire.AppendEndpointList(nil, targets),
+		EndpointListIndex: index,
+		EndpointList:      wire.AppendEndpointList(nil, endpoints),
 	}
 	status := w.gossip.sender.status()
 	if status == nil {
--- a/internal/server/zonehealth.go
+++ b/internal/server/zonehealth.go
@@ -90,39 +90,40 @@
 	if z == nil {
 		return "", errZoneHealthOff
 	}
-	wanted, ok := zonehealth.OverrideModes[want]
+	mode, ok := zonehealth.OverrideModes[want]
 	if !ok {
 		return "", fmt.Errorf("%q: none of in, out, hold, auto", want)
 	}
 	status, zones := z.router.ZoneStatus(), z.config.ZonesNamed(name)
-	if fault := zonehealth.CheckOverride(status, zones, wanted, epoch, force); fault != "" {
+	if fault := zonehealth.CheckOverride(status, zones, mode, epoch, force); fault != "" {
 		return "", errors.New(fault)
 	}
 	var text strings.Builder
 	for _, zone := range zones {
 		i := slices.IndexFunc(status, func(s zonehealth.ZoneStatus) bool { return s.Name == zone })
-		order := zonehealth.Override{
-			Zone: zone, Mode: wanted, Epoch: status[i].Override.Epoch + 1, Proxy: z.proxyName, Force: force,
+		override := zonehealth.Override{
+			Zone: zone, Mode: mode, Epoch: status[i].Override.Epoch + 1, Proxy: z.proxyName, Force: force,
 		}
-		if !z.router.OverrideZone(order) {
+		if !z.router.OverrideZone(override) {
 			return "", fmt.Errorf("zone %q: too busy to apply the override; the zone is unchanged", zone)
 		}
-		z.sender.publishShared(overrideRow(&order))
-		fmt.Fprintf(&text, "zone %s: %s, order %d\n", zone, wanted, order.Epoch)
+		z.sender.publishShared(overrideRow(&override))
+		fmt.Fprintf(&text, "zone %s: %s, order %d\n", zone, mode, override.Epoch)
 	}
 	z.log.Info("zones: override accepted", zap.String("zone", name), zap.String("want", want), zap.Bool("force", force))
 	return text.String(), nil
 }
 
 // overrideRow returns the row that replicates an override.
-func overrideRow(order *zonehealth.Override) replica.Row {
+func overrideRow(override *zonehealth.Override) replica.Row {
 	row := replica.Row{
-		Kind: replica.KindZoneOverride, Key: order.Zone, Epoch: order.Epoch, Rank: uint8(order.Mode), Body: []byte(order.Proxy),
+		Kind: replica.KindZoneOverride, Key: override.Zone, Epoch: override.Epoch, Rank: uint8(override.Mode),
+		Body: []byte(override.Proxy),
 	}
-	if order.Force {
+	if override.Force {
 		row.Sequence = 1
 	}
-	if order.Mode == zonehealth.OverrideAuto {
+	if override.Mode == zonehealth.OverrideAuto {
 		row.TTL = autoOverrideTTL
 	}
 	return row
@@ -162,8 +163,8 @@
 	if zone.Standalone {
 		text.WriteString("; passed by alone")
 	}
-	if order := zone.Override; order.Epoch > 0 {
-		fmt.Fprintf(text, "; ordered %v by way of %s, order %d", order.Mode, order.Proxy, order.Epoch)
+	if override := zone.Override; override.Epoch > 0 {
+		fmt.Fprintf(text, "; ordered %v by way of %s, order %d", override.Mode, override.Proxy, override.Epoch)
 	}
 	text.WriteByte('\n')
 }
--- a/internal/server/zonehealthfile.go
+++ b/internal/server/zonehealthfile.go
@@ -55,19 +55,19 @@
 		Standalone:     true,
 		Cooperative:    true,
 	}
-	var terms *zonehealth.Settings
+	var policy *zonehealth.Settings
 	err := readPolicyFile("zones", file, values, func() (err error) {
-		terms, err = values.terms(name, proxySettings)
+		policy, err = values.policy(name, proxySettings)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return terms, nil
+	return policy, nil
 }
 
-// terms validates the values and converts them. It first sets the default of quiet_ms, which depends on the settings.
-func (f *zoneHealthFile) terms(name string, proxySettings *settings.Settings) (*zonehealth.Settings, error) {
+// policy validates the values and converts them. It first sets the default of quiet_ms, which depends on the settings.
+func (f *zoneHealthFile) policy(name string, proxySettings *settings.Settings) (*zonehealth.Settings, error) {
 	shortest := shortestObjective[zonehealth.Time](proxySettings)
 	if f.QuietMS == 0 {
 		f.QuietMS = max(float64(shortest)/10*quietFraction, minQuietMS)
@@ -111,7 +111,7 @@
 // checkRanges checks the ranges of the numbers, in the order of the keys in deploy/zones.toml.
 func (f *zoneHealthFile) checkRanges() error {
 	for _, number := range []struct {
-		key               string
+		key             string
 		value, least, max float64
 	}{
 		{"quiet_ms", f.QuietMS, minQuietMS, maxShortMS},
