--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -145,14 +145,14 @@
 		{"settle_ms = -1.0\n", "settle_ms: -1"},
 		{"hold_ms = 5000.0\nmost_hold_ms = 100.0\n", "most_hold_ms: 100"},
 		{"step_ms = \"x\"\n", "step_ms"},
-		{"zones = [\"a\", \"a\"]\n", `zones: "a": missing, too long or doubled`},
-		{"zones = [\"a\", \"q\"]\n", `zones: "q": none of the settings'`},
-		{"zones = [\"b\", \"c\"]\n", `zone: "a": none of those`},
+		{"zones = [\"a\", \"a\"]\n", `zones: "a": empty, too long or duplicate`},
+		{"zones = [\"a\", \"q\"]\n", `zones: "q": not a zone of the settings`},
+		{"zones = [\"b\", \"c\"]\n", `zone: "a": not one of the zones`},
 		{zoneRegion("a", `"b", "c"`), `region[0].name: "a"`},
 		{zoneRegion("east", `"b", "c"`) + zoneRegion("east", `"a", "b"`), `region[1].name: "east"`},
-		{zoneRegion("east", `"b", "c"`) + zoneRegion("west", `"a", "b"`), `region[1].zones: "b": is in east`},
+		{zoneRegion("east", `"b", "c"`) + zoneRegion("west", `"a", "b"`), `region[1].zones: "b": already in region east`},
 		{zoneRegion("east", `"b", "q"`), `region[0].zones: "q"`},
-		{zoneRegion("east", `"b"`), "fewer than two"},
+		{zoneRegion("east", `"b"`), "fewer than two zones"},
 	} {
 		t.Run(c.want, func(t *testing.T) {
 			_, err := read(t, c.text)
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -66,8 +66,8 @@
 		sink.negativeCache(m.gossip.negativeCache.actor.Stats())
 	}
 	if status := m.gossip.sender.status(); status != nil {
-		sink.gauge("peers_share", "Part of what all proxies may do together that this one may.", status.QuotaShare)
-		sink.gauge("peers_known", "Proxies that are known, this one included.", float64(len(status.Members)))
+		sink.gauge("peers_share", "Fraction of the fleet's quota that this proxy may use.", status.QuotaShare)
+		sink.gauge("peers_known", "Known proxies, including this one.", float64(len(status.Members)))
 	}
 }
 
@@ -93,34 +93,34 @@
 		desc := prometheus.NewDesc(metricPrefix+c.Metric+"_total", c.Help, []string{c.Label}, nil)
 		s <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(c.Count), c.Value)
 	})
-	failed := prometheus.NewDesc(metricPrefix+"local_errors_total", "System calls that failed for a reason of this machine.",
+	failed := prometheus.NewDesc(metricPrefix+"local_errors_total", "System calls that failed for a local reason.",
 		[]string{"call", "errno"}, nil)
 	counters.LocalErrors.Each(func(kind proxy.SystemCallError, count int64) {
 		name := unix.ErrnoName(kind.Errno)
 		s <- prometheus.MustNewConstMetric(failed, prometheus.CounterValue, float64(count), kind.Call, name)
 	})
-	s.counter("wall_clock_steps", "Times that the wall clock was seen to step.", counters.WallClockSteps.Load())
+	s.counter("wall_clock_steps", "Detected steps of the wall clock.", counters.WallClockSteps.Load())
 	s.counter("state_write_failures", "Writes of the state file that failed.", counters.StateWriteFailures.Load())
-	s.counter("traces_omitted", "Requests whose trace was not logged, since there were too many.", counters.TracesOmitted.Load())
+	s.counter("traces_omitted", "Requests whose trace was not logged because of the rate limit.", counters.TracesOmitted.Load())
 	s.gauge("goroutines", "Goroutines of the process.", float64(runtime.NumGoroutine()))
 }
 
 func (s metricSink) duties(stats duties.Statistics) {
-	s.gauge("turns_here", "Proxies that duties are dealt out to.", float64(stats.Alive))
-	s.gauge("turns_watchers", "Proxies that said lately that their watch of discovery lives.", float64(stats.Watchers))
+	s.gauge("turns_here", "Proxies to which duties are assigned.", float64(stats.Alive))
+	s.gauge("turns_watchers", "Proxies with a valid watch lease.", float64(stats.Watchers))
 	s.gauge("turns_kept_nodes", "Nodes to which this proxy keeps idle connections.", float64(stats.OwnedNodes))
-	s.gauge("turns_passed_nodes", "Nodes that this proxy passes over.", float64(stats.EjectedNodes))
-	s.counter("turns_trials", "Trials of silent nodes by this proxy.", stats.ProbesSent)
-	s.counter("turns_told", "Trials by others that were heard of.", stats.ReportsReceived)
-	s.counter("turns_twice", "Of these, such that came while one was out.", stats.DuplicateProbes)
-	s.counter("turns_refused", "Words of others that were out of their bounds.", stats.RejectedReports)
-	s.counter("turns_moved", "Nodes whose idle connections became this proxy's duty, or another's.", stats.OwnershipChanges)
+	s.gauge("turns_passed_nodes", "Nodes that this proxy has ejected.", float64(stats.EjectedNodes))
+	s.counter("turns_trials", "Health check probes that this proxy has sent to silent nodes.", stats.ProbesSent)
+	s.counter("turns_told", "Accepted probe reports of other proxies.", stats.ReportsReceived)
+	s.counter("turns_twice", "Probes sent less than half an interval after the latest one.", stats.DuplicateProbes)
+	s.counter("turns_refused", "Rejected probe reports of other proxies.", stats.RejectedReports)
+	s.counter("turns_moved", "Nodes whose idle connections this proxy took over or gave up.", stats.OwnershipChanges)
 }
 
 func (s metricSink) recovery(stats recovery.Status) {
-	s.gauge("recovery_full_seconds", "Time from the start until the proxy was full, 0: it is not yet.",
+	s.gauge("recovery_full_seconds", "Time from the start until full service was first reached, 0 before that.",
 		float64(stats.FullServiceAfterMS)/1000)
-	s.gauge("recovery_drained", "Nodes left alone by what was stored.", float64(stats.DrainingEndpoints))
+	s.gauge("recovery_drained", "Endpoints that received no requests at the start because of the state file.", float64(stats.DrainingEndpoints))
 }
 
 func (s metricSink) negativeCache(stats negativecache.Stats) {
@@ -128,10 +128,10 @@
 	if stats.Serving {
 		serving = 1
 	}
-	s.gauge("missing_believed", "Whether missing keys are believed by now.", serving)
-	s.counter("missing_hits", "Look-ups answered by what is known to be missing.", stats.Hits)
-	s.counter("missing_put", "Missing keys that were taken.", stats.Stored)
-	s.counter("missing_cleared", "Times that all was forgotten.", stats.Flushes)
+	s.gauge("missing_believed", "Whether absent keys are served from the negative cache.", serving)
+	s.counter("missing_hits", "Lookups that found an absent key.", stats.Hits)
+	s.counter("missing_put", "Absent keys that were stored.", stats.Stored)
+	s.counter("missing_cleared", "Flushes of the negative cache.", stats.Flushes)
 }
 
 // snakeCase converts the name of a counter in camel case to the name of a metric.
--- a/internal/server/zonehealthfile.go
+++ b/internal/server/zonehealthfile.go
@@ -84,7 +84,7 @@
 		zone = f.Zone
 	}
 	if zone != "" && len(allowed) > 0 && !slices.Contains(allowed, zone) {
-		return nil, fmt.Errorf("zone: %q: none of those that nodes may have", zone)
+		return nil, fmt.Errorf("zone: %q: not one of the zones that nodes may have", zone)
 	}
 	regions, err := f.regions(allowed)
 	if err != nil {
@@ -111,7 +111,7 @@
 // checkRanges checks the ranges of the numbers, in the order of the keys in deploy/zones.toml.
 func (f *zoneHealthFile) checkRanges() error {
 	for _, number := range []struct {
-		key             string
+		key               string
 		value, least, max float64
 	}{
 		{"quiet_ms", f.QuietMS, minQuietMS, maxShortMS},
@@ -141,14 +141,14 @@
 	if len(proxySettings.Zones) > 0 {
 		for _, zone := range f.Zones {
 			if _, ok := proxySettings.Zones[zone]; !ok {
-				return nil, fmt.Errorf("zones: %q: none of the settings'", zone)
+				return nil, fmt.Errorf("zones: %q: not a zone of the settings", zone)
 			}
 		}
 	}
 	seen := map[string]bool{}
 	for _, zone := range f.Zones {
 		if zone == "" || len(zone) > maxZoneNameLength || seen[zone] {
-			return nil, fmt.Errorf("zones: %q: missing, too long or doubled", zone)
+			return nil, fmt.Errorf("zones: %q: empty, too long or duplicate", zone)
 		}
 		seen[zone] = true
 	}
@@ -162,18 +162,18 @@
 	regionNames, regionOfZone := map[string]bool{}, map[string]string{}
 	for i, region := range f.Regions {
 		if region.Name == "" || regionNames[region.Name] || slices.Contains(allowed, region.Name) {
-			return nil, fmt.Errorf("region[%d].name: %q: missing, doubled or a zone's", i, region.Name)
+			return nil, fmt.Errorf("region[%d].name: %q: empty, duplicate or the name of a zone", i, region.Name)
 		}
 		regionNames[region.Name] = true
 		if len(region.Zones) < minRegionZones {
-			return nil, fmt.Errorf("region[%d].zones: %s: fewer than two", i, region.Name)
+			return nil, fmt.Errorf("region[%d].zones: %s: fewer than two zones", i, region.Name)
 		}
 		for _, zone := range region.Zones {
 			if other, ok := regionOfZone[zone]; ok {
-				return nil, fmt.Errorf("region[%d].zones: %q: is in %s already", i, zone, other)
+				return nil, fmt.Errorf("region[%d].zones: %q: already in region %s", i, zone, other)
 			}
 			if len(allowed) > 0 && !slices.Contains(allowed, zone) {
-				return nil, fmt.Errorf("region[%d].zones: %q: no node may have it", i, zone)
+				return nil, fmt.Errorf("region[%d].zones: %q: not one of the zones that nodes may have", i, zone)
 			}
 			regionOfZone[zone] = region.Name
 		}
