--- a/internal/server/api_golden_test.go
+++ b/internal/server/api_golden_test.go
@@ -19,20 +19,20 @@
 	"woodproxy/rebalance"
 )
 
-// fixedService answers each operators' call with fixed values.
+// fixedService is an admin.Service that returns fixed values.
 type fixedService struct {
-	ready    bool
-	reason   string
-	changed  bool
-	peers    string
-	zones    string
-	turns    any
-	recovery any
-	missing  any
-	forget   error
-	plan     any
-	planErr  error
-	command  error
+	ready         bool
+	reason        string
+	changed       bool
+	peers         string
+	zones         string
+	duties        any
+	recovery      any
+	negativeCache any
+	clearErr      error
+	plan          any
+	planErr       error
+	overrideErr   error
 }
 
 func (s *fixedService) Ready() (bool, string)     { return s.ready, s.reason }
@@ -40,10 +40,10 @@
 func (s *fixedService) InService() bool           { return s.changed }
 func (s *fixedService) PeerStatus() string        { return s.peers }
 func (s *fixedService) ZoneStatus() string        { return s.zones }
-func (s *fixedService) DutyStatus() any           { return s.turns }
+func (s *fixedService) DutyStatus() any           { return s.duties }
 func (s *fixedService) RecoveryStatus() any       { return s.recovery }
-func (s *fixedService) NegativeCacheStatus() any  { return s.missing }
-func (s *fixedService) ClearNegativeCache() error { return s.forget }
+func (s *fixedService) NegativeCacheStatus() any  { return s.negativeCache }
+func (s *fixedService) ClearNegativeCache() error { return s.clearErr }
 
 func (s *fixedService) Metrics() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -58,15 +58,15 @@
 	return s.plan, s.planErr
 }
 
-// OverrideZone shows its arguments, as the path and the query were read.
+// OverrideZone returns its arguments as text, which shows how the path and the query were parsed.
 func (s *fixedService) OverrideZone(name, want string, epoch int64, force bool) (string, error) {
-	if s.command != nil {
-		return "", s.command
+	if s.overrideErr != nil {
+		return "", s.overrideErr
 	}
 	return fmt.Sprintf("name %q, want %q, epoch %d, force %v\n", name, want, epoch, force), nil
 }
 
-// startAdminServer starts the operators' listener and returns its address.
+// startAdminServer starts an admin server for the service and returns its address. The server stops at the end of the test.
 func startAdminServer(t *testing.T, service admin.Service) string {
 	t.Helper()
 	addr := unusedAddress(t)
@@ -79,7 +79,7 @@
 	return addr
 }
 
-// unusedAddress is on a loopback address that no other test uses.
+// unusedAddress returns an unused port of a loopback address that no other test uses.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.10.7.1:0")
@@ -94,8 +94,8 @@
 
 var dateLine = regexp.MustCompile(`(?m)^Date: .*$`)
 
-// roundTrip sends a request as it is and returns the whole response, its date masked. Where the server leaves a part of
-// the request unread, it resets the connection a while behind its response.
+// roundTrip sends a request unchanged and returns the complete response with its date masked. It accepts a reset after
+// the response: the server resets the connection if it has not read the complete request.
 func roundTrip(t *testing.T, addr, request string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -106,7 +106,7 @@
 	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	go func() { _, _ = io.WriteString(conn, request) }() // the server may reject the request before it has read all
+	go func() { _, _ = io.WriteString(conn, request) }() // the server may reject the request before it has read all of it
 	response, err := io.ReadAll(conn)
 	if err != nil && (!errors.Is(err, syscall.ECONNRESET) || len(response) == 0) {
 		t.Fatalf("%.60q: %v", request, err)
@@ -120,7 +120,7 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: proxy\r\nContent-Length: %d\r\n\r\n%s", method, target, len(body), body)
 }
 
-// apiCase is one call and the state of the service that it meets.
+// apiCase is one call, and the service that handles it.
 type apiCase struct {
 	name    string
 	service fixedService
@@ -144,19 +144,19 @@
 	{"zones", fixedService{zones: "this proxy stands in \"a\"\n"}, "GET", "/control/zones", ""},
 	{"no zones", fixedService{}, "GET", "/control/zones", ""},
 	{"zones by the wrong method", fixedService{}, "DELETE", "/control/zones", ""},
-	{"turns", fixedService{turns: fixedFigures}, "GET", "/control/turns", ""},
+	{"turns", fixedService{duties: fixedFigures}, "GET", "/control/turns", ""},
 	{"no turns", fixedService{}, "GET", "/control/turns", ""},
 	{"turns by the wrong method", fixedService{}, "POST", "/control/turns", ""},
 	{"recovery", fixedService{recovery: fixedFigures}, "GET", "/control/recovery", ""},
 	{"no recovery", fixedService{}, "GET", "/control/recovery", ""},
 	{"recovery by the wrong method", fixedService{}, "POST", "/control/recovery", ""},
-	{"missing", fixedService{missing: fixedFigures}, "GET", "/control/missing", ""},
+	{"missing", fixedService{negativeCache: fixedFigures}, "GET", "/control/missing", ""},
 	{"no missing", fixedService{}, "GET", "/control/missing", ""},
 	{"missing by the wrong method", fixedService{}, "POST", "/control/missing", ""},
 	{"forget", fixedService{}, "POST", "/control/missing/forget", ""},
 	{
 		"forget refused",
-		fixedService{forget: errors.New("too busy to take it; ask again")},
+		fixedService{clearErr: errors.New("too busy to take it; ask again")},
 		"POST", "/control/missing/forget", "",
 	},
 	{"forget by the wrong method", fixedService{}, "GET", "/control/missing/forget", ""},
@@ -184,7 +184,7 @@
 	{"order with force", fixedService{}, "POST", "/control/zones/a/out?force=leave+no+zone", ""},
 	{"order with bad force", fixedService{}, "POST", "/control/zones/a/out?force=yes", ""},
 	{"order with epoch and force", fixedService{}, "POST", "/control/zones/a/out?epoch=3&force=leave%20no%20zone", ""},
-	{"order refused", fixedService{command: errors.New("zone \"q\": no node has it")}, "POST", "/control/zones/q/out", ""},
+	{"order refused", fixedService{overrideErr: errors.New("zone \"q\": no node has it")}, "POST", "/control/zones/q/out", ""},
 	{"order by the wrong method", fixedService{}, "GET", "/control/zones/a/out", ""},
 	{"order without what is wanted", fixedService{}, "POST", "/control/zones/a", ""},
 	{"out of service", fixedService{changed: true}, "POST", "/control/out-of-service", ""},
@@ -213,7 +213,7 @@
 	{"trailing slash", fixedService{ready: true, reason: "ready"}, "GET", "/control/ready/", ""},
 }
 
-// Each operators' call has the status, headers and body that it has today.
+// TestControlAPIGolden checks the status, headers and body of the response to each call of the admin API.
 func TestControlAPIGolden(t *testing.T) {
 	var all strings.Builder
 	for i := range apiCases {
@@ -230,15 +230,14 @@
 	goldentest.Text(t, "control_api.golden", all.String())
 }
 
-// planError is an error of a plan, and the JSON object that operators get for it.
+// planError is an error of PlanMigrations, and the JSON object in the response to it.
 type planError struct {
 	err  error
 	want string
 }
 
-// The type is made from the name of the error's Go type with its package, and the figures from the names of its exported
-// fields.
-// Operators' programs match on both, so that each is spelled out here, whatever the Go identifiers are.
+// The type in the JSON object defaults to the error's Go type with its package, and the keys default to the names of its
+// exported fields. Operators' programs match both, so both are written out here independently of the Go identifiers.
 var planErrors = []planError{
 	{
 		&rebalance.InventoryError{Path: "nodes[1]", Reason: "name \"a\" is missing or doubled"},
@@ -297,6 +296,7 @@
 	},
 }
 
+// TestPlanErrorsOnTheWire checks the response to each type of error of PlanMigrations.
 func TestPlanErrorsOnTheWire(t *testing.T) {
 	for _, c := range planErrors {
 		addr := startAdminServer(t, &fixedService{planErr: c.err})
@@ -304,7 +304,7 @@
 		head, body, _ := strings.Cut(response, "\n\n")
 		isConflict := strings.HasPrefix(head, "HTTP/1.1 409 Conflict\n")
 		if !isConflict || !strings.Contains(head, "\nContent-Type: application/json\n") {
-			t.Errorf("%T: head %q", c.err, head)
+			t.Errorf("%T: got head %q, want 409 Conflict with JSON", c.err, head)
 		}
 		if body != c.want+"\n" {
 			t.Errorf("%T:\ngot:  %swant: %s", c.err, body, c.want)
--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -19,12 +19,12 @@
 
 const (
 	scriptClientTimeout = 8 * time.Second
-	silencePeriod       = 100 * time.Millisecond // after which nothing is taken to come
-	defaultTimeoutMS    = "1200"                 // of requests
-	maxRetryAfterMS     = 1000                   // that a busy answer may advise
+	silencePeriod       = 100 * time.Millisecond // time without input that counts as silence
+	defaultTimeoutMS    = "1200"                 // timeout of requests
+	maxRetryAfterMS     = 1000                   // maximum Retry-After of a busy reply
 )
 
-// encodeCommand returns a command as clients send it: an array of bulk strings.
+// encodeCommand returns the encoding of a command, an array of bulk strings.
 func encodeCommand(words ...string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
@@ -34,12 +34,13 @@
 	return b.Bytes()
 }
 
-// encodeGet returns a request for a key; the id identifies the request, and the emulated nodes put it into the value.
+// encodeGet returns the encoding of a request for a key. The id identifies the request; emulated nodes return it in the
+// value.
 func encodeGet(key, id, timeoutMS string) []byte {
 	return encodeCommand("KV.GET", key, id, "c=read,t=x,d="+timeoutMS)
 }
 
-// dialUntil connects to an address for the time given. The connection is closed at the end of the test.
+// dialUntil connects to an address and sets a deadline after the timeout. The connection is closed at the end of the test.
 func dialUntil(t *testing.T, address string, timeout time.Duration) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -53,7 +54,7 @@
 	return conn
 }
 
-// readInfo asks for the counters on a connection and closes it.
+// readInfo requests the counters on a connection and closes it.
 func readInfo(conn net.Conn) (string, error) {
 	defer func() { _ = conn.Close() }() // the proxy may have closed it
 	if _, err := conn.Write(encodeCommand("INFO")); err != nil {
@@ -63,7 +64,7 @@
 	return text, err
 }
 
-// waitForListener waits until an address accepts connections and tells whether it does.
+// waitForListener waits up to a second until an address accepts connections, and reports whether it does.
 func waitForListener(address string) bool {
 	for range startPolls {
 		if conn, err := net.Dial("tcp", address); err == nil {
@@ -75,7 +76,7 @@
 	return false
 }
 
-// unusedAddress returns an address where nobody listens.
+// unusedAddress returns an address that is not in use.
 func unusedAddress(t *testing.T, ip string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", ip+":0")
@@ -95,17 +96,16 @@
 	}
 }
 
-// scriptClient is a client of a script. It numbers its requests, so that each answer can be told to be that of its
-// request.
+// scriptClient is a client of a scenario. It numbers its requests, so that each reply can be matched with its request.
 type scriptClient struct {
 	conn    net.Conn
 	in      *bufio.Reader
 	name    string
 	sent    int
-	answers int // received so far
+	replies int // number of replies received
 }
 
-// step plays one line.
+// step runs one line of the scenario for this client.
 func (c *scriptClient) step(words []string, options map[string]string) error {
 	if err := c.conn.SetDeadline(time.Now().Add(scriptClientTimeout)); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
@@ -134,12 +134,12 @@
 			}
 		}
 	default:
-		return fmt.Errorf("unknown word %q", words[0])
+		return fmt.Errorf("unknown command %q", words[0])
 	}
 	return nil
 }
 
-// request sends requests for keys that begin with the key given.
+// request sends requests for the given key with a number appended.
 func (c *scriptClient) request(verb, key string, times int, options map[string]string) error {
 	timeoutMS := options["wait"]
 	if timeoutMS == "" {
@@ -164,7 +164,7 @@
 	return err
 }
 
-// expect reads what comes next and compares it with what is wanted.
+// expect reads the next reply and compares its kind with the expected one.
 func (c *scriptClient) expect(want string, options map[string]string) error {
 	switch want {
 	case "begun":
@@ -175,25 +175,25 @@
 	head, body, err := emulator.ReadElement(c.in)
 	if want == "closed" {
 		if err == nil {
-			return fmt.Errorf("came %q", head)
+			return fmt.Errorf("got %q, want the end of the connection", head)
 		}
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	c.answers++
+	c.replies++
 	got, err := c.classify(head, body, options["from"])
 	if err != nil {
 		return err
 	}
 	if got != want {
-		return fmt.Errorf("came %q, not %s", head, want)
+		return fmt.Errorf("got %q, want %s", head, want)
 	}
 	return nil
 }
 
-// expectBegun waits for the begin of an answer, which is left to be read.
+// expectBegun waits for the first 1000 bytes of a reply without consuming them.
 func (c *scriptClient) expectBegun(within time.Duration) error {
 	if err := c.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
 		return err
@@ -207,28 +207,28 @@
 		return err
 	}
 	if b, err := c.in.Peek(1); err == nil || len(b) > 0 {
-		return fmt.Errorf("something came: %q", b)
+		return fmt.Errorf("got %q, want nothing", b)
 	}
 	return nil
 }
 
-// classify returns the script's word for an answer. A value has to be that of the request whose turn it is, and be made
-// by the node from, where one is named.
+// classify returns the scenario's word for a reply. A value must belong to the oldest unanswered request and, unless from is
+// empty, come from that node.
 func (c *scriptClient) classify(head, body, from string) (string, error) {
 	switch {
 	case head[0] == '$':
 		node, id, _ := strings.Cut(strings.TrimRight(body, "."), ":")
-		if id != fmt.Sprint(c.name, c.answers) || from != "" && from != node {
-			return "", fmt.Errorf("a value of %q, not for %s%d", body, c.name, c.answers)
+		if id != fmt.Sprint(c.name, c.replies) || from != "" && from != node {
+			return "", fmt.Errorf("got value %q, want that of request %s%d", body, c.name, c.replies)
 		}
 		return "value", nil
 	case head == "+PONG":
 		return "pong", nil
 	case head == "-BUSY":
-		return "busy-at-will", nil // without advice on when to come back
+		return "busy-at-will", nil // without Retry-After
 	case strings.HasPrefix(head, "-BUSY "):
 		if n, err := strconv.Atoi(head[6:]); err != nil || n < 1 || n > maxRetryAfterMS {
-			return "", fmt.Errorf("odd advice %q", head)
+			return "", fmt.Errorf("invalid Retry-After in %q", head)
 		}
 		return "busy", nil
 	}
--- a/internal/server/config_golden_test.go
+++ b/internal/server/config_golden_test.go
@@ -14,13 +14,13 @@
 	"woodproxy/internal/settings"
 )
 
-// configFiles are the texts of the files that a proxy is configured by. A file whose text is empty is not named.
+// configFiles holds the texts of the configuration files of a proxy. A file whose text is empty does not exist.
 type configFiles struct {
 	config, peers, zones, turns, moves, missing string
 }
 
-// readConfig writes the files into a directory and reads the configuration with them. Errors are stable
-// ones.
+// readConfig writes the files into a directory and reads the configuration from them. Errors are stable between runs: they
+// do not contain the name of the directory.
 func readConfig(t *testing.T, files configFiles, overrides server.Config) (*server.Config, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -47,8 +47,8 @@
 	return config, nil
 }
 
-// formatConfig lists what was read of the configuration under the names of the file's keys. All keys of the settings
-// object are listed by the tests of the package that reads it.
+// formatConfig returns the values of a configuration with the names of the keys in the file. It includes only some of the
+// settings; the tests of package settings cover the others.
 func formatConfig(config *server.Config) string {
 	var text strings.Builder
 	line := func(label string, value any) { fmt.Fprintf(&text, "%s = %v\n", label, value) }
@@ -65,28 +65,28 @@
 		known = fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":%v}`, list.Index, list.Whole, list.Endpoints)
 	}
 	line("known", known)
-	listSettings := func(label string, book *settings.Settings) {
-		if book == nil {
+	listSettings := func(label string, values *settings.Settings) {
+		if values == nil {
 			line(label, "not stated")
 			return
 		}
-		line(label+".replicas-of-me", book.Balancer.Proxies)
-		line(label+".tick", fmt.Sprintf("%v ms", float64(book.Balancer.Tick)/10))
-		line(label+".limits.max-upstream-tries", book.Balancer.MaxAttempts)
-		line(label+".limits.conn-idle", fmt.Sprintf("%v ms", float64(book.ServerIdleTimeout)/10))
-		line(label+".limits.may-tell, peers told", book.Balancer.PeerCount)
-		line(label+".me", book.Balancer.Self)
-		line(label+".rules.cold", fmt.Sprintf("%v ms", float64(book.Balancer.SlowStart)/10))
-		line(label+".rules.fall", fmt.Sprintf("%v ms", float64(book.Balancer.SlowStartOverloadWindow)/10))
-		line(label+".routes", len(book.Balancer.Routes))
+		line(label+".replicas-of-me", values.Balancer.Proxies)
+		line(label+".tick", fmt.Sprintf("%v ms", float64(values.Balancer.Tick)/10))
+		line(label+".limits.max-upstream-tries", values.Balancer.MaxAttempts)
+		line(label+".limits.conn-idle", fmt.Sprintf("%v ms", float64(values.ServerIdleTimeout)/10))
+		line(label+".limits.may-tell, number of peers", values.Balancer.PeerCount)
+		line(label+".me", values.Balancer.Self)
+		line(label+".rules.cold", fmt.Sprintf("%v ms", float64(values.Balancer.SlowStart)/10))
+		line(label+".rules.fall", fmt.Sprintf("%v ms", float64(values.Balancer.SlowStartOverloadWindow)/10))
+		line(label+".routes", len(values.Balancer.Routes))
 	}
 	listSettings("settings", config.Settings)
 	listSettings("watch", config.ShadowSettings)
-	line("peers might be told and no file of peers is named", config.NotificationsWithoutGossip)
+	line("notifications allowed without a gossip file", config.NotificationsWithoutGossip)
 	return text.String()
 }
 
-// describeConfig lists what was read of a configuration, or the error.
+// describeConfig returns the values of the configuration that is read from the files, or the error.
 func describeConfig(t *testing.T, files configFiles, overrides server.Config) string {
 	t.Helper()
 	config, err := readConfig(t, files, overrides)
@@ -96,6 +96,7 @@
 	return formatConfig(config)
 }
 
+// TestConfigEveryKey checks the values read from a file with every key, and the effect of leaving out each key.
 func TestConfigEveryKey(t *testing.T) {
 	every := goldentest.Read(t, "config_every_key.json")
 	describe := func(text string) string { return describeConfig(t, configFiles{config: text}, server.Config{}) }
@@ -103,12 +104,13 @@
 	goldentest.Text(t, "config_every_key_left_out.golden", goldentest.LeaveOutEachKey(every, describe))
 }
 
+// TestConfigDefaults checks the values read from a file with the required keys only.
 func TestConfigDefaults(t *testing.T) {
 	required := goldentest.Read(t, "config_required_keys.json")
 	goldentest.Text(t, "config_defaults.golden", describeConfig(t, configFiles{config: required}, server.Config{}))
 }
 
-// What is given beside the file goes before what it says.
+// TestConfigOverrides checks that overrides take precedence over the configuration file.
 func TestConfigOverrides(t *testing.T) {
 	files := configFiles{config: goldentest.Read(t, "config_every_key.json")}
 	overrides := server.Config{
@@ -118,7 +120,8 @@
 	goldentest.Text(t, "config_overrides.golden", goldentest.ChangedLines(describeConfig(t, files, overrides), base))
 }
 
-// What changes in the configuration when a value is null, stands twice or is not known, or a file of peers is named.
+// TestConfigVariants checks the changes in the configuration if a value is null, a key is a duplicate or unknown, or a
+// gossip file exists.
 func TestConfigVariants(t *testing.T) {
 	every := goldentest.Read(t, "config_every_key.json")
 	base := describeConfig(t, configFiles{config: every}, server.Config{})
@@ -140,30 +143,31 @@
 	}
 	text := replaceIn(t, every, `"tick":7.3`, `"tick":7.3,"me":6`)
 	files := configFiles{config: text, peers: goldentest.Read(t, "peers.toml")}
-	fmt.Fprintf(&report, "\"me\":6 with a file of peers:\n%s", goldentest.ChangedLines(describeConfig(t, files, server.Config{}), base))
+	fmt.Fprintf(&report, "\"me\":6 with a gossip file:\n%s", goldentest.ChangedLines(describeConfig(t, files, server.Config{}), base))
 	goldentest.Text(t, "config_variants.golden", report.String())
 }
 
-// replaceIn replaces the first occurrence of a part that has to be there.
+// replaceIn replaces the first occurrence of a part, and fails the test if there is none.
 func replaceIn(t *testing.T, text, from, to string) string {
 	t.Helper()
 	if !strings.Contains(text, from) {
-		t.Fatalf("%s is not in the text", from)
+		t.Fatalf("text does not contain %s", from)
 	}
 	return strings.Replace(text, from, to, 1)
 }
 
-// expectError compares an error with its whole text.
+// expectError compares the complete text of an error.
 func expectError(t *testing.T, what string, err error, want string) {
 	t.Helper()
 	if err == nil {
 		err = errors.New("no error")
 	}
 	if err.Error() != want {
-		t.Errorf("%s: %q, want %q", what, err, want)
+		t.Errorf("%s: got %q, want %q", what, err, want)
 	}
 }
 
+// TestConfigBadInputs checks the complete errors for invalid configuration files.
 func TestConfigBadInputs(t *testing.T) {
 	every := goldentest.Read(t, "config_every_key.json")
 	for _, c := range []badInput{
@@ -209,5 +213,5 @@
 	_, err := server.Read("", server.Config{})
 	expectError(t, "no file", err, "configuration: no file named")
 	_, err = server.Read("testdata/absent.json", server.Config{})
-	expectError(t, "a file that is not there", err, "configuration: open testdata/absent.json: no such file or directory")
+	expectError(t, "a file that does not exist", err, "configuration: open testdata/absent.json: no such file or directory")
 }
--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -11,11 +11,11 @@
 	"woodproxy/rebalance"
 )
 
-// exampleConfig is a configuration that is good, with a key that nothing reads.
+// exampleConfig is a valid configuration with an unknown key, which is ignored.
 const exampleConfig = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f",` +
 	`"limits":{"cores":1.5},"settings":` + settingsJSON + `,"new":1}`
 
-// badValue is a change of a text and a part of the error that it leads to.
+// badValue is a replacement in a text, and a part of the error that it causes.
 type badValue struct{ from, to, want string }
 
 var badConfigurations = []badValue{
@@ -58,7 +58,7 @@
 	{`"new":1`, `"watch":{"routes":[]}`, "watch: setup routes: none"},
 }
 
-// readText reads a configuration of this text.
+// readText reads a configuration file with the given text.
 func readText(t *testing.T, text string) (*Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -66,7 +66,7 @@
 	return Read(file, Config{})
 }
 
-// requireOneLine requires an error of one line that has all parts.
+// requireOneLine requires an error of one line that contains all parts.
 func requireOneLine(t *testing.T, err error, parts ...string) {
 	t.Helper()
 	if err == nil || strings.Contains(err.Error(), "\n") {
@@ -79,7 +79,7 @@
 	}
 }
 
-// A bad configuration is an error of one line that names what is wrong.
+// TestReadRejectsBadConfiguration checks that an invalid configuration leads to an error of one line that names the key.
 func TestReadRejectsBadConfiguration(t *testing.T) {
 	if _, err := readText(t, exampleConfig); err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 		})
 	}
 	if _, err := Read("", Config{}); err == nil {
-		t.Error("no file is taken")
+		t.Error("got no error without a file name")
 	}
 }
 
@@ -105,7 +105,7 @@
 	}
 }
 
-// Name and addresses that are given beside the file go before it.
+// TestReadPrefersOverrides checks that the name and addresses of overrides take precedence over the file.
 func TestReadPrefersOverrides(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, file, exampleConfig)
@@ -115,12 +115,13 @@
 	}
 }
 
-// zoneRegion is a region of a zone health file.
+// zoneRegion returns a region table of a zone health file.
 func zoneRegion(name, zones string) string {
 	return "[[region]]\nname = \"" + name + "\"\nzones = [" + zones + "]\n"
 }
 
-// A bad zone health file is an error of one line that names the file and the key.
+// TestReadRejectsBadZoneHealthFile checks that an invalid zone health file leads to an error of one line that names the
+// file and the key.
 func TestReadRejectsBadZoneHealthFile(t *testing.T) {
 	dir := t.TempDir()
 	file, configFile := filepath.Join(dir, "zones.toml"), filepath.Join(dir, "config.json")
@@ -160,11 +161,11 @@
 		})
 	}
 	if _, err := Read(configFile, Config{ZoneHealthFile: file + "x"}); err == nil {
-		t.Error("a file that is missing")
+		t.Error("got no error for a file that does not exist")
 	}
 }
 
-// policyFileDir is a directory with a configuration of three proxies, a gossip file and one further file.
+// policyFileDir holds the names of a configuration file of a fleet of three proxies, a gossip file and one policy file.
 type policyFileDir struct{ config, gossip, policy string }
 
 func newPolicyFileDir(t *testing.T) policyFileDir {
@@ -181,8 +182,8 @@
 	return files
 }
 
-// Bad files of duties, rebalancing and the negative cache are errors of their modules' types, in one line that names
-// file and key.
+// TestReadRejectsBadPolicyFiles checks that invalid files of duties, rebalancing and the negative cache lead to errors of
+// the types of these modules, in one line that names the file and the key.
 func TestReadRejectsBadPolicyFiles(t *testing.T) {
 	files := newPolicyFileDir(t)
 	duty, dutyAlone := Config{DutiesFile: files.policy, GossipFile: files.gossip}, Config{DutiesFile: files.policy}
@@ -197,7 +198,7 @@
 	for _, c := range []struct {
 		overrides Config
 		text      string
-		errorType any // nil: any
+		errorType any // nil: any type
 		want      string
 	}{
 		{duty, "watchers = 1\n", &dutyRange, "watchers: 1"},
@@ -215,13 +216,13 @@
 			_, err := Read(files.config, c.overrides)
 			requireOneLine(t, err, c.want, files.policy)
 			if c.errorType != nil && !errors.As(err, c.errorType) {
-				t.Errorf("error of type %T", err)
+				t.Errorf("got error of unexpected type %T", err)
 			}
 		})
 	}
 }
 
-// The files in deploy are good.
+// TestReadTakesDeployedPolicyFiles checks that the files in deploy are valid.
 func TestReadTakesDeployedPolicyFiles(t *testing.T) {
 	files := newPolicyFileDir(t)
 	for name, overrides := range map[string]Config{
--- a/internal/server/figures_golden_test.go
+++ b/internal/server/figures_golden_test.go
@@ -17,7 +17,7 @@
 	"woodproxy/zonehealth"
 )
 
-// fill sets each exported field to a value of its own, so that no field is left out of the JSON and no two look alike.
+// fill sets each exported field to a different value that is not zero, so that the JSON contains every field.
 func fill(t *testing.T, v reflect.Value, count *int) {
 	t.Helper()
 	*count++
@@ -40,7 +40,7 @@
 	case reflect.Float64:
 		v.SetFloat(float64(*count) + 0.5)
 	default:
-		t.Fatalf("no value for a field of kind %v", v.Kind())
+		t.Fatalf("field of unsupported kind %v", v.Kind())
 	}
 }
 
@@ -53,7 +53,7 @@
 	return string(text)
 }
 
-// The JSON of what operators are shown has the keys that it has today, in their order.
+// TestFiguresJSONGolden checks the JSON keys, and their order, of the types in responses and requests of the admin API.
 func TestFiguresJSONGolden(t *testing.T) {
 	var all strings.Builder
 	for _, c := range []struct {
@@ -65,10 +65,10 @@
 		{"GET /control/missing", &negativecache.Stats{}},
 		{"POST /control/moves/plan, response", &rebalance.Plan{}},
 		{"POST /control/moves/plan, request", &rebalance.Inventory{}},
-		{"a move of a plan", &rebalance.Migration{}},
+		{"a migration of a plan", &rebalance.Migration{}},
 		{"a node of an inventory", &rebalance.Node{}},
 		{"a shard of an inventory", &rebalance.Shard{}},
-		{"what a node lacks, in an error", &rebalance.Shortfall{}},
+		{"a shortfall of a node, in an error", &rebalance.Shortfall{}},
 	} {
 		fmt.Fprintf(&all, "=== %s\nempty:  %s\n", c.name, encode(t, c.value))
 		count := 0
@@ -78,10 +78,11 @@
 	goldentest.Text(t, "figures.golden", all.String())
 }
 
-// fullInventory has every key that an inventory may have.
+// fullInventory is an inventory with every key.
 const fullInventory = `{"nodes":[{"name":"a","zone":"x","room_bytes":10,"weight":1.5,"leaves":true}],` +
 	`"shards":[{"id":1,"bytes":2,"on":"a","want":"b","pin":true,"zones":["x","y"],"apart":"g"}]}`
 
+// TestInventoryJSON checks that an inventory with every key is decoded and encoded without loss.
 func TestInventoryJSON(t *testing.T) {
 	in := json.NewDecoder(strings.NewReader(fullInventory))
 	in.DisallowUnknownFields()
@@ -95,7 +96,7 @@
 	}
 }
 
-// requireFilled fails on each field that is still empty: it would be one that no key of the JSON text sets.
+// requireFilled reports an error for each field that is empty, which means that no key of the JSON text sets it.
 func requireFilled(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
@@ -113,18 +114,19 @@
 	}
 }
 
-// The counters have the names that they have today, in their order: INFO, the log and the metrics show them.
+// TestCounterNamesGolden checks the names and the order of the counters, which are part of INFO, the log and the metrics.
 func TestCounterNamesGolden(t *testing.T) {
 	counters := &proxy.Counters{}
 	goldentest.Text(t, "counters.golden", counters.String())
 	var listed strings.Builder
 	counters.Each(func(name string, value int64) { fmt.Fprintf(&listed, "%s %d\n", name, value) })
 	if listed.String() != counters.String() {
-		t.Errorf("Each lists %q, String %q", listed.String(), counters.String())
+		t.Errorf("got %q from Each, want the result of String, %q", listed.String(), counters.String())
 	}
 }
 
-// The words for stages, states and orders are shown to operators and taken from them.
+// TestStateWordsGolden checks the words for stages, zone states and override modes in output for operators, and that the
+// words for override modes are accepted as input.
 func TestStateWordsGolden(t *testing.T) {
 	var all strings.Builder
 	for s := recovery.Stage(0); s < 4; s++ {
@@ -134,9 +136,9 @@
 		fmt.Fprintf(&all, "zone state %d %s\n", s, s)
 	}
 	for w := zonehealth.OverrideMode(0); w < 4; w++ {
-		fmt.Fprintf(&all, "order %d %s\n", w, w)
+		fmt.Fprintf(&all, "override %d %s\n", w, w)
 		if zonehealth.OverrideModes[w.String()] != w {
-			t.Errorf("order %v is not read by its own name", w)
+			t.Errorf("override mode %v can't be parsed from its own name", w)
 		}
 	}
 	goldentest.Text(t, "state_words.golden", all.String())
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -23,24 +23,24 @@
 
 const (
 	pollInterval = 10 * time.Millisecond
-	maxPolls     = 200 // two seconds for what is expected
-	startPolls   = 100 // a second until a proxy listens
+	maxPolls     = 200 // of an expected value: two seconds
+	startPolls   = 100 // until a proxy listens: a second
 	stopTimeout  = 3 * time.Second
 	adminTimeout = time.Second
 )
 
-// settingsJSON is the settings object of a proxy under test.
+// settingsJSON is the default settings object of a proxy under test.
 const settingsJSON = `{"replicas-of-me":1,"limits":{"max-upstream-tries":3,"may-cancel":true,"conn-idle":15000,
 "connect-timeout":250,"retry-after":true,"max-retry-after":1000},"tick":5,"shapes":["std","origin"],
 "rules":{"cold":8000,"fall":3000,"cold-from":0.3,"fall-multiple":3},"family-info":{"mode":"aside","origin-kind":1},
 "routes":[{"name":"read","latency-objective":600,"overall-timeout":1200,"value":5,"effect":"pure"},
 {"name":"put","latency-objective":600,"overall-timeout":1200,"value":5,"effect":"token","group":"all","dedup-window":6000}]}`
 
-// proxyHarness runs a proxy in the test's process, with emulated nodes and an emulated discovery service. It is used by
-// the test's goroutine.
+// proxyHarness runs a proxy in the process of the test, with emulated nodes and an emulated discovery service. It must only
+// be used by the goroutine of the test.
 type proxyHarness struct {
 	t       *testing.T
-	line    int    // of the script, for messages
+	line    int    // current line of the scenario, for messages
 	ip      string // loopback address of all its listeners
 	nodes   map[string]*emulator.Node
 	clients map[string]*scriptClient
@@ -48,25 +48,26 @@
 	discovery        *emulator.Discovery
 	discoveryAddress string
 	discoveryServer  *http.Server
-	movedDiscovery   *http.Server // that which served the address before the last move
+	movedDiscovery   *http.Server // server of the address before the last move
 
 	limits     map[string]string
 	settings   string
-	shadow     string // settings of the shadow balancer, JSON
+	shadow     string // settings of the shadow balancer in JSON
 	configFile string
 	configText string
 
 	clientAddress string
 	adminAddress  string
 	hotRestartDir string
-	idleCallers   []net.Conn // connections to the admin address that finish no call
+	idleCallers   []net.Conn // connections to the admin address that never complete a call
 
-	signals chan os.Signal // to stop; nil: the proxy was stopped
+	signals chan os.Signal // signals to stop; nil: the proxy was stopped
 	reloads chan os.Signal
 	ended   chan error
 }
 
-// harnesses counts them: each has a loopback address of its own, or a port that one gave up may be another's next.
+// harnesses is the number of harnesses created. Each uses a loopback address of its own: on a shared address, a port
+// released by one harness could be assigned to another.
 var harnesses atomic.Int64
 
 func newHarness(t *testing.T) *proxyHarness {
@@ -87,16 +88,16 @@
 	}
 }
 
-// startedHarness returns a harness whose proxy runs with a cache c1 and an origin o1, after these script lines.
+// startedHarness returns a harness that runs a proxy with the cache c1 and the origin o1 and has run the given lines.
 func startedHarness(t *testing.T, lines ...string) *proxyHarness {
 	t.Helper()
 	h := newHarness(t)
-	h.play(0, append([]string{"node c1 hit", "node o1 hit", "list c1 o1", "start"}, lines...)...)
+	h.runLines(0, append([]string{"node c1 hit", "node o1 hit", "list c1 o1", "start"}, lines...)...)
 	return h
 }
 
-// play plays script lines; the first has the number after the given one.
-func (h *proxyHarness) play(line int, lines ...string) {
+// runLines runs lines of a scenario. Their numbers start after the given one.
+func (h *proxyHarness) runLines(line int, lines ...string) {
 	h.t.Helper()
 	for i, words := range lines {
 		h.RunStep(line+i+1, strings.Fields(words))
@@ -108,14 +109,14 @@
 	h.t.Errorf("line %d: %s", h.line, fmt.Sprintf(format, args...))
 }
 
-// Finish stops the proxy after the last line of a script.
+// Finish stops the proxy after the last line of a scenario.
 func (h *proxyHarness) Finish() {
 	h.t.Helper()
 	for _, conn := range h.idleCallers {
 		_ = conn.Close() // the proxy may have closed it
 	}
 	for _, client := range h.clients {
-		_ = client.conn.Close() // the script or the proxy may have closed it
+		_ = client.conn.Close() // the scenario or the proxy may have closed it
 	}
 	if h.signals == nil || h.clientAddress == "" {
 		return
@@ -126,7 +127,7 @@
 	}
 }
 
-// setNode starts a node, or changes how it behaves.
+// setNode starts a node, or changes its mode.
 func (h *proxyHarness) setNode(name, mode string, options map[string]string) {
 	h.t.Helper()
 	node := h.nodes[name]
@@ -142,7 +143,7 @@
 	node.SetMode(emulator.NodeMode(mode), 1, delay, int(testscript.ParseNumber(options["size"])))
 }
 
-// endpoint returns an entry of the endpoint list for NAME or NAME:STATUS.
+// endpoint returns the entry of the endpoint list for NAME or NAME:STATUS.
 func (h *proxyHarness) endpoint(word string) emulator.Endpoint {
 	name, status, _ := strings.Cut(word, ":")
 	if status == "" {
@@ -158,7 +159,7 @@
 	return row
 }
 
-// publishEndpoints has discovery send endpoints.
+// publishEndpoints makes discovery send endpoints.
 func (h *proxyHarness) publishEndpoints(words []string) {
 	var rows []emulator.Endpoint
 	for _, word := range words {
@@ -167,18 +168,18 @@
 	h.discovery.Publish(rows...)
 }
 
-// startDiscovery has discovery listen at a new address.
+// startDiscovery makes discovery listen on a new address.
 func (h *proxyHarness) startDiscovery() {
 	h.t.Helper()
 	server, address, err := h.discovery.Listen(h.ip)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.t.Cleanup(func() { _ = server.Close() }) // the script may have closed it
+	h.t.Cleanup(func() { _ = server.Close() }) // the scenario may have closed it
 	h.discoveryServer, h.discoveryAddress = server, address
 }
 
-// moveDiscovery has discovery listen at a new address as well and writes that to the configuration text.
+// moveDiscovery makes discovery listen on a second address and replaces the address in the configuration text.
 func (h *proxyHarness) moveDiscovery() {
 	h.t.Helper()
 	previous := h.discoveryAddress
@@ -187,8 +188,8 @@
 	h.configText = strings.Replace(h.configText, previous, h.discoveryAddress, 1)
 }
 
-// configure chooses addresses for a proxy and writes its configuration; known are names of endpoints, separated by
-// commas.
+// configure chooses the addresses of a proxy and writes its configuration file. known contains the names of the endpoints in
+// the known list, separated by commas.
 func (h *proxyHarness) configure(known string) {
 	h.t.Helper()
 	h.startDiscovery()
@@ -213,7 +214,7 @@
 	writeFile(h.t, h.configFile, h.configText)
 }
 
-// start configures and runs a proxy and waits until it serves.
+// start configures and runs a proxy and waits until it serves clients.
 func (h *proxyHarness) start(known string) {
 	h.t.Helper()
 	h.configure(known)
@@ -221,12 +222,12 @@
 	if !waitForListener(h.clientAddress) {
 		h.t.Fatal("the proxy does not listen")
 	}
-	if h.discovery.Mode() == "" { // until the list has come, or the first request would find no node
+	if h.discovery.Mode() == "" { // wait for the endpoint list: without it the first request would find no node
 		h.call("GET", "/control/ready", "200", "")
 	}
 }
 
-// run runs a proxy with the configuration there is.
+// run starts a proxy with the current configuration file.
 func (h *proxyHarness) run() {
 	h.t.Helper()
 	read := func() (*Config, error) {
@@ -242,7 +243,7 @@
 	}(h.ended, Signals{Stop: h.signals, Reload: h.reloads})
 }
 
-// reload writes the configuration, or half of it, and has the proxy read it.
+// reload writes the configuration file, or half of it, and makes the proxy read it.
 func (h *proxyHarness) reload(how string) {
 	h.t.Helper()
 	if how == "moved" {
@@ -256,14 +257,14 @@
 	h.reloads <- syscall.SIGHUP
 }
 
-// replace runs a successor and stops the proxy once that one is ready.
+// replace starts a successor, and stops the proxy once the successor is ready.
 func (h *proxyHarness) replace() {
 	h.t.Helper()
 	ended, signals := h.ended, h.signals
 	h.ended, h.signals, h.reloads = make(chan error, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
 	h.adminAddress = unusedAddress(h.t, h.ip)
 	h.run()
-	waitForListener(h.adminAddress) // the call tells if there is none
+	waitForListener(h.adminAddress) // if it does not listen, the call reports an error
 	h.call("GET", "/control/ready", "200", "")
 	signals <- syscall.SIGTERM
 	select {
@@ -276,22 +277,23 @@
 	}
 }
 
-// call plays an operator, who waits for a second at most, and expects a status.
+// call makes an admin call with a timeout of a second and compares the status. It polls until the proxy is ready if that is
+// the expected status.
 func (h *proxyHarness) call(method, path, want, body string) {
 	h.t.Helper()
-	for range maxPolls { // it starts, and is ready after a second at the latest
+	for range maxPolls { // a proxy is ready a second after its start at the latest
 		if path != "/control/ready" || want != "200" || h.callStatus(method, path, body) == want {
 			break
 		}
 		time.Sleep(pollInterval)
 	}
 	if got := h.callStatus(method, path, body); got != want {
-		h.fail("%s %s: %s, not %s", method, path, got, want)
+		h.fail("%s %s: got %s, want %s", method, path, got, want)
 	}
 }
 
-// callStatus returns the status of the answer to an admin call, or what happened instead. The body is a number of
-// bytes, or garbage for a head that can't be read.
+// callStatus makes an admin call and returns the status of the response, or a description of the failure. body is the
+// length of the body in bytes, or "garbage" for a malformed head.
 func (h *proxyHarness) callStatus(method, path, body string) string {
 	conn, err := net.DialTimeout("tcp", h.adminAddress, adminTimeout)
 	if err != nil {
@@ -307,7 +309,7 @@
 		request = fmt.Sprintf("%s %s HTTP/1.1\r\nHost: here\r\nContent-Length: %d\r\n\r\n%s",
 			method, path, n, strings.Repeat("x", n))
 	}
-	_, writeErr := io.WriteString(conn, request) // the proxy may answer before it has read all, and close
+	_, writeErr := io.WriteString(conn, request) // the proxy may respond and close before it has read everything
 	head, err := bufio.NewReader(conn).ReadString('\n')
 	if words := strings.Fields(head); len(words) > 1 {
 		return words[1]
@@ -315,7 +317,7 @@
 	return fmt.Sprintf("%q (%v, %v)", head, err, writeErr)
 }
 
-// openIdleCalls opens connections to the admin address, each of which sends a part of a call.
+// openIdleCalls opens connections to the admin address, each of which sends an incomplete call.
 func (h *proxyHarness) openIdleCalls(count int) {
 	h.t.Helper()
 	for i := range count {
@@ -325,13 +327,13 @@
 			return
 		}
 		h.idleCallers = append(h.idleCallers, conn)
-		// the proxy may have closed it by then, since there are too many
+		// the proxy may have closed it already, because there are too many
 		_, _ = io.WriteString(conn, "POST /control/out-of-service HTTP/1.1\r\nHost"[:i%40])
 	}
 }
 
-// expect waits until a figure compares to a number: requests taken by a node, watches at discovery (calls), or a
-// counter.
+// expect waits until the comparison of a figure with a number is true. The figure is the number of requests received by a
+// node, the number of watches opened at discovery (calls), or a counter of the proxy.
 func (h *proxyHarness) expect(figure, operator string, want int) {
 	h.t.Helper()
 	var got int
@@ -355,10 +357,10 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	h.fail("%s is %d, not %s %d; %s", figure, got, operator, want, strings.ReplaceAll(info, "\n", " "))
+	h.fail("%s: got %d, want %s %d; %s", figure, got, operator, want, strings.ReplaceAll(info, "\n", " "))
 }
 
-// counterValue returns a counter's value in the answer to INFO, which has a line for each.
+// counterValue returns the value of a counter from the reply to INFO, which has a line for each counter.
 func counterValue(info, name string) (value int, ok bool) {
 	_, after, ok := strings.Cut("\n"+info, "\n"+name+" ")
 	line, _, _ := strings.Cut(after, "\n")
--- a/internal/server/hotrestart_test.go
+++ b/internal/server/hotrestart_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 )
 
-// restartClient sends requests one after another while proxies replace each other.
+// restartClient sends requests one after another during hot restarts.
 type restartClient struct {
 	t          *testing.T
 	address    string
@@ -27,7 +27,7 @@
 
 	conn       net.Conn // nil: not connected
 	in         *bufio.Reader
-	unanswered int // requests in a row
+	unanswered int // consecutive requests without a reply
 }
 
 // restartTotals counts the requests of all clients.
@@ -36,7 +36,7 @@
 	unanswered atomic.Int64
 }
 
-// run sends requests until stop; it ends sooner where something is wrong.
+// run sends requests until stop is true, or until a request or connection fails the test.
 func (c *restartClient) run(stop *atomic.Bool, totals *restartTotals) {
 	defer c.disconnect()
 	for i := 0; !stop.Load(); i++ {
@@ -47,7 +47,7 @@
 	}
 }
 
-// connect makes sure of a connection; clients see that theirs is closed before they send.
+// connect connects if there is no connection. Before that it checks whether the proxy has closed the current connection.
 func (c *restartClient) connect() bool {
 	if c.conn != nil {
 		if err := c.conn.SetReadDeadline(time.Now().Add(time.Millisecond)); err != nil {
@@ -61,7 +61,7 @@
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.address)
 		if err != nil {
-			c.t.Error("not accepted:", err)
+			c.t.Error("connection not accepted:", err)
 			return false
 		}
 		c.conn, c.in = conn, bufio.NewReader(conn)
@@ -80,20 +80,20 @@
 	}
 }
 
-// request sends one request and reads its answer.
+// request sends one request and reads its reply. It returns false if the client has to stop.
 func (c *restartClient) request(id string, totals *restartTotals) bool {
 	totals.sent.Add(1)
-	_, _ = c.conn.Write(encodeGet("k", id, defaultTimeoutMS)) // where it fails there is no answer
+	_, _ = c.conn.Write(encodeGet("k", id, defaultTimeoutMS)) // after a failed write there is no reply
 	head, body, err := emulator.ReadElement(c.in)
 	switch {
 	case err != nil:
 		totals.unanswered.Add(1)
 		if c.unanswered++; c.unanswered > 1 {
-			c.t.Error("twice in a row without an answer:", err)
+			c.t.Error("two consecutive requests without a reply:", err)
 			return false
 		}
 	case head[0] == '$' && body != "c1:"+id:
-		c.t.Errorf("%q, not for %s", body, id)
+		c.t.Errorf("got %q, want the value for %s", body, id)
 	default:
 		c.unanswered = 0
 	}
@@ -103,8 +103,9 @@
 	return true
 }
 
-// Two replacements in a row under load: each request is answered, on connections that stay as on ever new ones, and
-// each connection is accepted. A close may cross a request, which then goes unanswered and is sent again.
+// TestHotRestartUnderLoad runs two hot restarts under load. All connections must be accepted, and all requests answered,
+// both on persistent connections and on new ones. The only exception is a request that crosses a close: it gets no reply
+// and is retried.
 func TestHotRestartUnderLoad(t *testing.T) {
 	t.Parallel()
 	h := startedHarness(t, "node c1 hit slow=5")
@@ -116,21 +117,21 @@
 		clients.Go(func() { client.run(&stop, totals) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	h.play(9, "replace", "replace")
+	h.runLines(9, "replace", "replace")
 	stop.Store(true)
 	clients.Wait()
 	if sent, unanswered := totals.sent.Load(), totals.unanswered.Load(); sent < 300 || unanswered > sent/50 {
-		t.Errorf("%d sent, %d of them without an answer", sent, unanswered)
+		t.Errorf("got %d requests, %d without a reply; want at least 300, at most 2%% without a reply", sent, unanswered)
 	}
 	h.Finish()
 }
 
-// The successor has the endpoint list that its predecessor had, though discovery does not respond and the list in the
-// configuration is old; endpoints that drain are not used.
+// TestSuccessorInheritsEndpoints checks that a successor uses the endpoint list of its predecessor while discovery does not
+// respond, although the list in the configuration is outdated. Draining endpoints are not used.
 func TestSuccessorInheritsEndpoints(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t)
-	h.play(0,
+	h.runLines(0,
 		"node c1 hit", "node c2 hit", "node o1 hit", "list c1 c2 o1", "start known=c1,c2,o1",
 		"list c2:leaving", "pause 100", "discovery cut", "discovery silent",
 		"replace", "b get k times=5", "b gets value from=c1 times=5", "expect c2 = 0",
@@ -138,7 +139,8 @@
 	h.Finish()
 }
 
-// Where a process inherits the listener, tells that it serves and dies, the first process accepts clients again.
+// TestPredecessorResumesWhenSuccessorDies checks that a process accepts clients again after a successor inherited its
+// listener, notified it that it serves clients, and died.
 func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
 	t.Parallel()
 	h := startedHarness(t, "node c1 hit slow=5")
@@ -150,26 +152,28 @@
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond)
-	h.play(9, "a ping", "a gets nothing") // nobody accepts it now
+	h.runLines(9, "a ping", "a gets nothing") // no process accepts the connection now
 	if err := successor.Listener.Close(); err != nil {
 		t.Fatal(err)
 	}
 	successor.Disconnect()
-	h.play(19, "a gets pong", "a get k", "a gets value", "replace", "b get k", "b gets value")
+	h.runLines(19, "a gets pong", "a get k", "a gets value", "replace", "b get k", "b gets value")
 	h.Finish()
 }
 
-// A process whose hot-restart socket can't be made is replaced all the same: both listen.
+// TestRestartWithoutHotRestartSocket checks that a process can be replaced if its hot-restart socket can't be created: both
+// processes listen on the address.
 func TestRestartWithoutHotRestartSocket(t *testing.T) {
 	t.Parallel()
 	h := startedHarness(t, "node c1 hit slow=5")
 	h.hotRestartDir = t.TempDir()
 	writeFile(t, filepath.Join(h.hotRestartDir, "woodproxy"), "")
-	h.play(9, "replace", "a get k", "a gets value")
+	h.runLines(9, "replace", "a get k", "a gets value")
 	h.Finish()
 }
 
-// An endpoint list that can't be read is not inherited; the process starts without it.
+// TestUnreadableInheritedEndpoints checks that a process starts without the endpoint list of its predecessor if it can't be
+// decoded.
 func TestUnreadableInheritedEndpoints(t *testing.T) {
 	t.Parallel()
 	for name, list := range map[string]string{
@@ -179,7 +183,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
-			h.play(0, "node c1 hit", "node o1 hit", "list c1 o1")
+			h.runLines(0, "node c1 hit", "node o1 hit", "list c1 o1")
 			h.configure("")
 			listener, err := net.Listen("tcp", h.clientAddress)
 			if err != nil {
@@ -193,10 +197,10 @@
 			}
 			h.run()
 			h.call("GET", "/control/ready", "200", "")
-			if err := listener.Close(); err != nil { // its queue is the new one's
+			if err := listener.Close(); err != nil { // its backlog passes to the successor
 				t.Fatal(err)
 			}
-			h.play(19, "a get k", "a gets value")
+			h.runLines(19, "a get k", "a gets value")
 			h.Finish()
 			predecessor.Close()
 		})
--- a/internal/server/invariants_test.go
+++ b/internal/server/invariants_test.go
@@ -11,11 +11,12 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// Each step of the wall clock is seen once, with its size, and none where it only runs a little fast.
+// TestClockWatchSeesSteps checks that each step of the wall clock is reported once, with its size, and that a small
+// deviation is not reported.
 func TestClockWatchSeesSteps(t *testing.T) {
 	start := time.Now()
 	watch := newClockWatch(start)
-	// at returns an instant whose wall clock was moved against its monotonic one, as a stepped clock's is.
+	// at returns the wall clock time after the elapsed time, moved by the offset of a step. It has no monotonic reading.
 	at := func(elapsed, offset time.Duration) time.Time {
 		return start.Add(elapsed).Add(offset).Round(0)
 	}
@@ -24,24 +25,25 @@
 		{2 * time.Second, 50 * time.Millisecond, 0},
 	} {
 		if got := watch.check(start.Add(test.elapsed)); got != test.want {
-			t.Errorf("without a step: %v", got)
+			t.Errorf("got a step of %v, want none", got)
 		}
 	}
-	// An instant without a monotonic reading has the difference of wall clocks only, so that the offset is taken directly.
+	// The offset is set directly: for a time without a monotonic reading, the difference includes the wall clock only.
 	for _, offset := range []time.Duration{time.Hour, -time.Hour, -5 * time.Second, 0} {
 		before := watch.offset
 		watch.offset = at(0, 0).Sub(at(0, offset))
 		if step := watch.check(start.Add(3 * time.Second)); step != offset {
-			t.Errorf("stepped by %v, seen %v", offset, step)
+			t.Errorf("want a step of %v, got %v", offset, step)
 		}
 		if again := watch.check(start.Add(4 * time.Second)); again != 0 {
-			t.Errorf("seen again: %v", again)
+			t.Errorf("got another step of %v, want none", again)
 		}
 		watch.offset = before
 	}
 }
 
-// A violation is logged with its invariant and request, and a flood of them is counted but not logged.
+// TestViolationsAreLoggedUpToARate checks that a violation is logged with its invariant and request, and that of many
+// violations all are counted but only a limited number is logged.
 func TestViolationsAreLoggedUpToARate(t *testing.T) {
 	core, logs := observer.New(zapcore.DebugLevel)
 	checker := newInvariantChecker(zap.New(core))
@@ -50,13 +52,13 @@
 		checker.ReplyDecided([]byte("id"), 2)
 	}
 	if n := checker.Count(invariant.OneFinalReply); n != replies {
-		t.Errorf("%d counted", n)
+		t.Errorf("got %d violations counted, want 1000", n)
 	}
 	lines := logs.FilterMessage("invariant violated").All()
 	if len(lines) < violationBurst || len(lines) > 2*violationBurst {
-		t.Errorf("%d lines", len(lines))
+		t.Errorf("got %d log lines, want 50 to 100", len(lines))
 	}
 	if fields := lines[0].ContextMap(); fields["id"] != "id" || fields["invariant"] != invariant.OneFinalReply.String() {
-		t.Errorf("%v", fields)
+		t.Errorf("got log fields %v, want the id and the invariant", fields)
 	}
 }
--- a/internal/server/knownlist_test.go
+++ b/internal/server/knownlist_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// writeFleetConfig writes a configuration that knows servers, and returns its name.
+// writeFleetConfig writes a configuration file whose known endpoint list has the given number of servers, and returns its
+// name.
 func writeFleetConfig(t *testing.T, servers int) string {
 	t.Helper()
 	rows := make([]string, servers)
@@ -25,7 +26,8 @@
 	return file
 }
 
-// The configuration's endpoint list stayed in memory as a parsed document, several times as large as its text.
+// TestKnownEndpointsKeepNoDocument guards against the endpoint list of the configuration staying in memory as a parsed JSON
+// document, which was several times as large as its text.
 func TestKnownEndpointsKeepNoDocument(t *testing.T) {
 	const servers, maxBytesEach = 3200, 1 << 10
 	file := writeFleetConfig(t, servers)
@@ -35,17 +37,17 @@
 		t.Fatal(err)
 	}
 	if each := (liveHeap() - before) / servers; each > maxBytesEach {
-		t.Errorf("%d bytes stay for each of %d servers, over %d", each, servers, maxBytesEach)
+		t.Errorf("got %d bytes of heap for each of %d servers, want at most %d", each, servers, maxBytesEach)
 	}
 	if len(config.known.Endpoints) != servers || config.known.Index != 41 || string(config.document.GetStringBytes("name")) != "n1" {
-		t.Errorf("index %d, %d endpoints, %v", config.known.Index, len(config.known.Endpoints), config.document)
+		t.Errorf("got index %d, %d endpoints and document %v", config.known.Index, len(config.known.Endpoints), config.document)
 	}
 }
 
-// liveHeap returns the bytes of the heap that are in use.
+// liveHeap returns the size of the live heap in bytes.
 func liveHeap() int64 {
 	runtime.GC()
-	runtime.GC() // what the first one has swept
+	runtime.GC() // the first call may leave objects for this one to free
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return int64(stats.HeapAlloc)
--- a/internal/server/listener_test.go
+++ b/internal/server/listener_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// failingListen fails a number of times with an error, and then listens.
+// failingListen returns a function that fails with an error the given number of times and then listens, and the counter of
+// its calls.
 func failingListen(times int, errno syscall.Errno) (listen func(string) (*net.TCPListener, error), calls *int) {
 	calls = new(int)
 	return func(address string) (*net.TCPListener, error) {
@@ -20,8 +21,8 @@
 	}, calls
 }
 
-// A process starts while the machine lacks buffers, memory or descriptors for a moment: it listens when there are some, and
-// does not end.
+// TestStartOutlastsShortage checks that the start of a process is retried, and does not fail, if the machine temporarily
+// lacks buffers, memory or descriptors.
 func TestStartOutlastsShortage(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.EAGAIN, syscall.EINTR,
@@ -39,13 +40,13 @@
 	}
 }
 
-// An address that can't be listened on is an error at once.
+// TestStartFailsOnWrongAddress checks that the start fails immediately if the process can't listen on the address.
 func TestStartFailsOnWrongAddress(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EACCES} {
 		listen, calls := failingListen(1, errno)
 		began := time.Now()
 		if _, err := listenWithRetry("127.0.0.1:0", listen); !errors.Is(err, errno) || *calls != 1 || time.Since(began) > time.Second {
-			t.Errorf("%v after %d calls and %v", err, *calls, time.Since(began))
+			t.Errorf("got error %v after %d calls and %v, want the error of the first call within 1s", err, *calls, time.Since(began))
 		}
 	}
 }
--- a/internal/server/overload_test.go
+++ b/internal/server/overload_test.go
@@ -14,7 +14,7 @@
 	"woodproxy/internal/emulator"
 )
 
-// get sends a request for the key k on a connection and returns the value of the answer.
+// get sends a request for the key k on a connection and returns the body of the reply.
 func get(conn net.Conn, in *bufio.Reader, id string) (string, error) {
 	if err := conn.SetDeadline(time.Now().Add(3 * time.Second)); err != nil {
 		return "", err
@@ -26,19 +26,19 @@
 	return body, err
 }
 
-// getFromCache is like get and requires the value that the cache c1 makes for the request.
+// getFromCache is like get, but returns an error unless the reply is the value from the cache c1 for this request.
 func getFromCache(conn net.Conn, in *bufio.Reader, id string) error {
 	body, err := get(conn, in, id)
 	if err != nil {
 		return fmt.Errorf("%s: %w", id, err)
 	}
 	if body != "c1:"+id {
-		return fmt.Errorf("%q, not for %s", body, id)
+		return fmt.Errorf("got %q, want the value for %s", body, id)
 	}
 	return nil
 }
 
-// requestLoad runs clients until a point in time and counts their requests.
+// requestLoad runs clients until the time end and counts their requests.
 type requestLoad struct {
 	address string
 	end     time.Time
@@ -47,7 +47,8 @@
 	late    atomic.Int64
 }
 
-// repeat calls work with numbers from 0 in a goroutine; its first error is one of the test, and the last call.
+// repeat starts a goroutine that calls work with the numbers from 0 until the end. After an error, which fails the test, it
+// makes no further call.
 func (l *requestLoad) repeat(t *testing.T, work func(i int) error) {
 	t.Helper()
 	l.clients.Go(func() {
@@ -96,8 +97,8 @@
 	})
 }
 
-// openIdleConnections opens some 600 connections a second until the end, at most 300 at a time. One in three sends half
-// a command, the others nothing.
+// openIdleConnections opens about 600 connections a second until the end, and keeps at most 300 of them open. One in three
+// sends half a command, the others send nothing.
 func (l *requestLoad) openIdleConnections(t *testing.T) {
 	t.Helper()
 	var open []net.Conn
@@ -124,13 +125,13 @@
 	}
 }
 
-// Clients that connect and send nothing, stop in the middle of a command or use a connection once do not keep others
-// from being served: neither clients that keep their connections, nor those that connect for one request.
+// TestIdleConnectionsDoNotBlockOthers checks that clients are served, on persistent connections and on a new connection for
+// each request, while many other clients connect and send nothing or stop in the middle of a command.
 func TestIdleConnectionsDoNotBlockOthers(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t)
 	h.limits = map[string]string{"sockets": "128", "memory_mb": "24"}
-	h.play(0, "node c1 hit", "node o1 hit", "list c1 o1", "start")
+	h.runLines(0, "node c1 hit", "node o1 hit", "list c1 o1", "start")
 	load := &requestLoad{address: h.clientAddress, end: time.Now().Add(3 * time.Second)}
 	for n := range 6 {
 		load.addPersistentClient(t, n)
@@ -140,12 +141,12 @@
 	}
 	load.openIdleConnections(t)
 	if served, late := load.served.Load(), load.late.Load(); served < 500 || late > 0 {
-		t.Errorf("%d served, %d of them late", served, late)
+		t.Errorf("got %d requests served, %d of them late; want at least 500, none late", served, late)
 	}
 	h.Finish()
 }
 
-const longValueBytes = 4 << 20
+const longValueBytes = 4 << 20 // maximum length of a value
 
 // readSlowly requests a long value and reads at most 128 KiB of it every 20 ms.
 func readSlowly(t *testing.T, conn net.Conn, id string) {
@@ -169,7 +170,7 @@
 	}
 }
 
-// heapBytes returns what is allocated after a garbage collection.
+// heapBytes returns the number of allocated bytes of the heap after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -177,12 +178,12 @@
 	return stats.HeapAlloc
 }
 
-// Values of 4 MiB for clients that read slowly, more at once than the memory holds, take up little of it, and a short
-// value is served meanwhile.
+// TestSlowReaders checks that clients which read values of 4 MiB slowly, more of them than fit into the memory limit, use
+// little memory of the proxy, and that a short value is served meanwhile.
 func TestSlowReaders(t *testing.T) {
-	h := newHarness(t) // not beside other tests, since it looks at the memory
+	h := newHarness(t) // not parallel to other tests, because it measures the memory
 	h.limits = map[string]string{"memory_mb": "24"}
-	h.play(0, fmt.Sprint("node c1 hit size=", longValueBytes), "node o1 hit", "list c1 o1", "start")
+	h.runLines(0, fmt.Sprint("node c1 hit size=", longValueBytes), "node o1 hit", "list c1 o1", "start")
 	before := heapBytes()
 	var clients sync.WaitGroup
 	const readers = 24
@@ -195,16 +196,16 @@
 		if err := conn.(*net.TCPConn).SetReadBuffer(64 << 10); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(30 * time.Millisecond) // or they are too many for one cache
+		time.Sleep(30 * time.Millisecond) // otherwise the requests exceed the capacity of the one cache
 		clients.Go(func() { readSlowly(t, conn, fmt.Sprint("slow", n)) })
 	}
 	time.Sleep(400 * time.Millisecond)
-	// the emulated node holds its values, the proxy a few pieces
+	// The emulated node holds its complete values in the same process, the proxy only a few pieces of each.
 	if now := heapBytes(); now > before+readers*(longValueBytes+longValueBytes/8)+16<<20 {
-		t.Errorf("%d MB held, %d before", now>>20, before>>20)
+		t.Errorf("got a heap of %d MiB, which was %d MiB before", now>>20, before>>20)
 	}
-	h.play(8, "node c1 hit", "a get k", "a gets value")
+	h.runLines(8, "node c1 hit", "a get k", "a gets value")
 	clients.Wait()
-	h.play(11, "expect Passing = 0")
+	h.runLines(11, "expect Passing = 0")
 	h.Finish()
 }
--- a/internal/server/restore_test.go
+++ b/internal/server/restore_test.go
@@ -15,13 +15,14 @@
 
 const stateFile = "woodproxy.state"
 
-// A state file that holds something wrong and can't be moved aside does not end the start: it goes on without it.
+// TestStateFileThatStaysDoesNotEndStart checks that the start continues without stored state if the state file is corrupt
+// and can't be moved aside.
 func TestStateFileThatStaysDoesNotEndStart(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, stateFile), []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	// A directory that holds something can't be replaced by a file.
+	// A directory that is not empty can't be replaced by a file.
 	if err := os.MkdirAll(filepath.Join(dir, stateFile+".unreadable", "full"), 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -31,11 +32,12 @@
 	}
 	restored := restoreState(&Config{StateStore: store}, zap.NewNop())
 	if restored.outcome != restoredUnreadable {
-		t.Errorf("%+v", restored)
+		t.Errorf("got %+v, want the outcome for an unreadable file", restored)
 	}
 }
 
-// A disk that hangs in a write holds up neither the stages of recovery nor the end of the process.
+// TestHangingDiskHoldsUpNothing checks that a write of the state file that hangs does not block its caller, which tracks
+// recovery and ends with the process.
 func TestHangingDiskHoldsUpNothing(t *testing.T) {
 	writing, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
@@ -48,13 +50,13 @@
 	ended := make(chan struct{})
 	go func() {
 		writer.write(&snapshot.Snapshot{})
-		writer.write(&snapshot.Snapshot{}) // nothing more is begun meanwhile, or writing would be closed twice
+		writer.write(&snapshot.Snapshot{}) // starts no second write: save would close the channel twice
 		close(ended)
 	}()
 	<-writing
 	select {
 	case <-ended:
 	case <-time.After(time.Second):
-		t.Error("the caller waits for the disk")
+		t.Error("write waits for the disk")
 	}
 }
--- a/internal/server/rowbound_test.go
+++ b/internal/server/rowbound_test.go
@@ -8,10 +8,10 @@
 	"woodproxy/zonehealth"
 )
 
-// listOf returns a msgpack map with one field, which announces a list of 64 Mi elements and holds none.
+// listOf returns a msgpack map with one field, an array whose header announces 64 Mi elements and that has none.
 func listOf(field byte) []byte { return []byte{0x81, 0xa1, field, 0xdd, 0x04, 0, 0, 0} }
 
-// allocatedBy returns how many bytes a call allocates.
+// allocatedBy returns the number of bytes that a call allocates.
 func allocatedBy(call func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -20,7 +20,8 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// A peer's row that announces more than it holds is dropped, and costs no more memory than its own bytes.
+// TestRowThatAnnouncesMoreThanItHoldsIsDropped guards against allocating memory for the announced length of an array in a
+// peer's row, which may exceed the bytes of the row. Such a row is dropped.
 func TestRowThatAnnouncesMoreThanItHoldsIsDropped(t *testing.T) {
 	const limit = 1 << 20 // bytes
 	for _, test := range []struct {
@@ -34,7 +35,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if n := allocatedBy(func() { test.receive(&replica.Row{Body: listOf(test.field)}) }); n > limit {
-				t.Errorf("%d bytes are allocated for a row of 8", n)
+				t.Errorf("got %d bytes allocated for a row of 8 bytes, want at most 1 MiB", n)
 			}
 		})
 	}
--- a/internal/server/script_test.go
+++ b/internal/server/script_test.go
@@ -13,32 +13,39 @@
 	"woodproxy/internal/testscript"
 )
 
-// A script plays one proxy on loopback sockets, with emulated nodes and an emulated discovery service:
+// TestScenarios runs each scenario with a proxy on loopback sockets, emulated nodes and an emulated discovery service. The
+// lines of a scenario are:
 //
-//	limits WORD=N ...                        memory_mb, sockets; before start
+//	limits WORD=N ...                        sets limits (memory_mb, sockets); before start
 //	settings OLD NEW                         replaces a text in the settings; before start
-//	watch JSON                               settings of the shadow balancer; before start
-//	node NAME MODE [slow=MS] [size=N]        starts a cache or (o1) the origin, or changes how it behaves
-//	list NAME[:leaving|:left] ...            an endpoint list from discovery: the first is complete, others are changes
+//	watch JSON                               sets the settings of the shadow balancer; before start
+//	node NAME MODE [slow=MS] [size=N]        starts a cache or (o1) the origin, or changes its mode
+//	list NAME[:leaving|:left] ...            makes discovery send an endpoint list: a complete one first, then changes
 //	discovery up|silent|down|cut|garbled|full
-//	                                         down goes on when it is up, silent stays so for those who asked meanwhile;
-//	                                         full rejects watches, cut ends the watches there are
-//	reload moved|bad                         a new configuration file and SIGHUP: discovery has moved, or it can't be read
-//	old gone                                 discovery's old address ends its watches
-//	call METHOD PATH STATUS [with=N|garbage] an operator's call, with a body of N bytes or garbage for a head
-//	ringers N                                connections to the admin address that finish no call
-//	replace                                  runs a successor, and stops the first process once the successor is ready
-//	start [known=NAME,NAME]                  a known node is one that node has started, or is nowhere
+//	                                         sets the mode of discovery. After down, watches continue when it is up again;
+//	                                         after silent, watches opened meanwhile stay silent; full rejects watches; cut
+//	                                         ends the open watches
+//	reload moved|bad                         writes a configuration file and sends SIGHUP: discovery has moved, or the file
+//	                                         is incomplete
+//	old gone                                 ends the watches at the old address of discovery
+//	call METHOD PATH STATUS [with=N|garbage] makes an admin call with a body of N bytes, or with a malformed head
+//	ringers N                                opens connections to the admin address that never complete a call
+//	replace                                  starts a successor, and stops the first process once the successor is ready
+//	start [known=NAME,NAME]                  starts the proxy with a known list. Its nodes that were not started have an
+//	                                         address that is not in use
 //	CLIENT get KEY [wait=MS] [times=N] | set KEY [size=N] [wait=MS] | ping [times=N] | raw TEXT | leaves
+//	                                         sends requests or text, or disconnects
 //	CLIENT gets value [from=NAME] | busy | busy-at-will | error | pong | closed | nothing [times=N]
-//	                                         the next answers
-//	CLIENT gets begun within=MS              the first byte of the next answer, which is left there
-//	expect NAME|COUNTER|calls OP N           requests that a node read, a counter, or watches at discovery; within two
-//	                                         seconds
-//	crowd N [from=N] | mutes N               clients that connect, get a pong and stay; or connect and send nothing
-//	pause MS | stop | running | stopped
+//	                                         compares the next replies; busy-at-will is busy without Retry-After
+//	CLIENT gets begun within=MS              waits for the beginning of the next reply without consuming it
+//	expect NAME|COUNTER|calls OP N           waits up to two seconds until the comparison is true for the number of requests
+//	                                         that a node has read, a counter, or the number of watches at discovery
+//	crowd N [from=N] | mutes N               connects clients that get a pong and stay, or that send nothing
+//	pause MS                                 waits
+//	stop                                     sends the signal to stop
+//	running | stopped                        checks that the proxy has not exited; waits until it has exited
 //
-// Modes of nodes and of discovery are the emulator's.
+// Package emulator defines the modes of nodes and of discovery.
 func TestScenarios(t *testing.T) {
 	testscript.RunFiles(t, "scenarios/*.txt", func(t *testing.T) testscript.Runner {
 		t.Parallel()
@@ -46,10 +53,10 @@
 	})
 }
 
-// scriptCommand plays one line; words are those of the line, the first being the command's name.
+// scriptCommand runs one line of a scenario. words are the words of the line; the first is the name of the command.
 type scriptCommand func(h *proxyHarness, words []string, options map[string]string)
 
-// scriptCommands are the commands by name. All other lines are those of clients.
+// scriptCommands are the commands by name. All other lines begin with the name of a client.
 var scriptCommands = map[string]scriptCommand{
 	"limits": func(h *proxyHarness, _ []string, options map[string]string) { h.limits = options },
 	"node": func(h *proxyHarness, words []string, options map[string]string) {
@@ -87,18 +94,18 @@
 	},
 	"mutes": func(h *proxyHarness, words []string, _ map[string]string) {
 		for i := range int(testscript.ParseNumber(words[1])) {
-			h.playClient([]string{fmt.Sprint("mute", i), "raw"})
+			h.runClientLine([]string{fmt.Sprint("mute", i), "raw"})
 		}
 	},
 	"running": func(h *proxyHarness, _ []string, _ map[string]string) {
 		if len(h.ended) > 0 {
-			h.fail("has ended")
+			h.fail("the proxy has exited")
 		}
 	},
 	"stopped": func(h *proxyHarness, _ []string, _ map[string]string) { h.expectStopped() },
 }
 
-// RunStep plays one line of a script.
+// RunStep runs one line of a scenario.
 func (h *proxyHarness) RunStep(line int, words []string) {
 	h.t.Helper()
 	h.line = line
@@ -106,11 +113,11 @@
 		command(h, words, testscript.ParseArguments(words[1:]))
 		return
 	}
-	h.playClient(words)
+	h.runClientLine(words)
 }
 
-// playClient plays a client's line; the client connects with the first one.
-func (h *proxyHarness) playClient(words []string) {
+// runClientLine runs the line of a client, which connects with its first line.
+func (h *proxyHarness) runClientLine(words []string) {
 	h.t.Helper()
 	client := h.clients[words[0]]
 	if client == nil {
@@ -127,20 +134,20 @@
 	}
 }
 
-// addIdleClients adds clients that ask once and keep their connection. They are numbered from first.
+// addIdleClients adds clients that send one PING and keep their connection. Their numbers start at first.
 func (h *proxyHarness) addIdleClients(count, first int) {
 	h.t.Helper()
 	for i := range count {
 		name := fmt.Sprint("crowd", first+i)
-		h.playClient([]string{name, "ping"})
-		h.playClient([]string{name, "gets", "pong"})
+		h.runClientLine([]string{name, "ping"})
+		h.runClientLine([]string{name, "gets", "pong"})
 	}
 }
 
 func (h *proxyHarness) replaceSettings(from, to string) {
 	h.t.Helper()
 	if !strings.Contains(h.settings, from) {
-		h.fail("the settings lack %s", from)
+		h.fail("the settings do not contain %s", from)
 	}
 	h.settings = strings.Replace(h.settings, from, to, 1)
 }
--- a/internal/server/signals_test.go
+++ b/internal/server/signals_test.go
@@ -11,7 +11,8 @@
 	"go.uber.org/zap"
 )
 
-// Reloads that come while the file is being read lead to one more reading, and a stop waits for none.
+// TestReloadsDuringReading checks that several reloads during a read of the configuration lead to one more read, and that a
+// stop does not wait for a read.
 func TestReloadsDuringReading(t *testing.T) {
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal)
 	begun, release := make(chan struct{}, 10), make(chan struct{})
@@ -20,7 +21,7 @@
 		readings.Add(1)
 		begun <- struct{}{}
 		<-release
-		return &Config{}, errors.New("a bad file")
+		return &Config{}, errors.New("invalid file")
 	}
 	s := &server{config: &Config{Name: "as at the start"}, log: zap.NewNop()}
 	ended := make(chan *Config, 1)
@@ -30,15 +31,15 @@
 	}
 	<-begun
 	release <- struct{}{}
-	<-begun // what was asked for meanwhile
+	<-begun // the read for the reloads that came meanwhile
 	stop <- syscall.SIGTERM
 	select {
 	case config := <-ended:
 		if config != s.config || readings.Load() != 2 {
-			t.Errorf("%+v after %d readings", config, readings.Load())
+			t.Errorf("got configuration %+v after %d reads, want the one at the start after 2", config, readings.Load())
 		}
 	case <-time.After(time.Second):
-		t.Error("the stop waits for a reading")
+		t.Error("the stop waits for a read")
 	}
 	close(release)
 }
--- a/internal/server/toml_golden_test.go
+++ b/internal/server/toml_golden_test.go
@@ -15,15 +15,15 @@
 	"woodproxy/zonehealth"
 )
 
-const noKeys = "# all keys are left out\n"
+const noKeys = "# no keys\n"
 
-// tomlFile is one kind of TOML file beside the configuration, for the tests that all kinds have in common.
+// tomlFile is one kind of TOML file other than the gossip file. The tests of its methods are common to all kinds.
 type tomlFile struct {
-	// name is that of the kind: testdata has name_every_key.toml, deploy has name.toml.
+	// name is the name of the kind: testdata contains name_every_key.toml, and deploy contains name.toml.
 	name string
-	// files returns the files of a proxy that is configured by the text as well.
+	// files returns the files of a proxy, including one of this kind with the given text.
 	files func(t *testing.T, text string) configFiles
-	// describe lists what was read under the names of the file's keys.
+	// describe calls line with each value that was read and the name of its key in the file.
 	describe func(config *server.Config, line func(label string, v any))
 }
 
@@ -107,7 +107,7 @@
 
 func zoneMilliseconds(span zonehealth.Time) float64 { return float64(span) / 10 }
 
-// read lists what was read of a file with the text, or the error.
+// read returns the values that are read from a file with the given text, or the error.
 func (f *tomlFile) read(t *testing.T, text string) string {
 	t.Helper()
 	config, err := readConfig(t, f.files(t, text), server.Config{})
@@ -119,6 +119,7 @@
 	return lines.String()
 }
 
+// TestTOMLFilesEveryKey checks the values read from a file with every key, and the effect of leaving out each line.
 func TestTOMLFilesEveryKey(t *testing.T) {
 	for _, f := range tomlFiles {
 		t.Run(f.name, func(t *testing.T) {
@@ -130,13 +131,14 @@
 	}
 }
 
+// TestTOMLFilesDefaults checks the values read from a file without keys.
 func TestTOMLFilesDefaults(t *testing.T) {
 	for _, f := range tomlFiles {
 		t.Run(f.name, func(t *testing.T) { goldentest.Text(t, f.name+"_defaults.golden", f.read(t, noKeys)) })
 	}
 }
 
-// The files in deploy are what operators copy.
+// TestTOMLFilesDeployed checks the values of the files in deploy, which operators copy.
 func TestTOMLFilesDeployed(t *testing.T) {
 	for _, f := range tomlFiles {
 		t.Run(f.name, func(t *testing.T) {
@@ -149,7 +151,7 @@
 	}
 }
 
-// The settings' locality goes before the zone that the file of zones names.
+// TestZonesFileLocality checks that the locality in the settings takes precedence over the zone in the zone health file.
 func TestZonesFileLocality(t *testing.T) {
 	files := zonesTOML.files(t, goldentest.Read(t, "zones_every_key.toml"))
 	files.config = replaceIn(t, files.config, `"tick":5`, `"tick":5,"locality":"north"`)
@@ -158,13 +160,14 @@
 		t.Fatal(err)
 	}
 	if config.ZoneHealth.Zone != "north" || config.Zone() != "north" {
-		t.Errorf("zones %q and %q, want north", config.ZoneHealth.Zone, config.Zone())
+		t.Errorf("got zones %q and %q, want north", config.ZoneHealth.Zone, config.Zone())
 	}
 }
 
-// badInput is a change of the file with every key and the error that it leads to.
+// badInput is a replacement in the file with every key, and the error that it causes.
 type badInput struct{ from, to, want string }
 
+// expectErrors checks the complete error for each case.
 func (f *tomlFile) expectErrors(t *testing.T, cases []badInput) {
 	t.Helper()
 	every := goldentest.Read(t, f.name+"_every_key.toml")
@@ -305,7 +308,8 @@
 		"name a file of peers as well (--peers FILE), or leave the file of missing keys out")
 }
 
-// A file of peers that is wrong, or whose address another listener has, is an error of the configuration.
+// TestPeersFileOfConfigBadInputs checks the errors for a gossip file with an unknown key, and for one whose address is used
+// by another listener.
 func TestPeersFileOfConfigBadInputs(t *testing.T) {
 	config, peers := goldentest.Read(t, "config_every_key.json"), goldentest.Read(t, "peers.toml")
 	for _, address := range []string{"127.0.0.31:6431", "127.0.0.32:6432", "127.0.0.33:6433"} {
@@ -319,7 +323,7 @@
 	expectError(t, "unknown key", err, "peers: peers.toml: line 1: fleet: unknown")
 }
 
-// A file that is named and not there is an error that names it.
+// TestTOMLFilesAbsent checks that a configured file that does not exist leads to an error that names it.
 func TestTOMLFilesAbsent(t *testing.T) {
 	const config, absent = "testdata/config_for_toml_files.json", "testdata/absent.toml"
 	for _, c := range []struct {
@@ -336,7 +340,7 @@
 			_, err := server.Read(config, c.overrides)
 			expectError(t, c.name, err, c.name+": open testdata/absent.toml: no such file or directory")
 			if !errors.Is(err, os.ErrNotExist) {
-				t.Errorf("%s: not an error of a file that does not exist", c.name)
+				t.Errorf("%s: the error does not wrap os.ErrNotExist", c.name)
 			}
 		})
 	}
