--- a/internal/server/config_golden_test.go
+++ b/internal/server/config_golden_test.go
@@ -197,12 +197,12 @@
 		{`"tick":7.3`, `"tick":"7.3"`, "configuration: settings: setup tick: mistyped"},
 		{`"watch": {`, `"watch": 7, "left-out": {`, "configuration: watch: mistyped"},
 		{`"tick":9.1`, `"tick":"9.1"`, "configuration: watch: setup tick: mistyped"},
-		{`"tick":9.1`, `"tenants":[]`, "configuration: watch: setup tenants: not those of the settings"},
-		{`"tick":9.1`, `"zones":["south","north"]`, "configuration: watch: setup zones: not those of the settings"},
-		{`"tick":9.1`, `"family-info":{"origin-kind":0}`, "configuration: watch: setup family-info.origin-kind: not those of the settings"},
+		{`"tick":9.1`, `"tenants":[]`, "configuration: watch: setup tenants: differs from the settings"},
+		{`"tick":9.1`, `"zones":["south","north"]`, "configuration: watch: setup zones: differs from the settings"},
+		{`"tick":9.1`, `"family-info":{"origin-kind":0}`, "configuration: watch: setup family-info.origin-kind: differs from the settings"},
 		{
 			`"tick":9.1`, `"routes":[{"name":"get","latency-objective":1,"overall-timeout":1,"value":1,"effect":"pure"}]`,
-			"configuration: watch: setup routes: not those of the settings",
+			"configuration: watch: setup routes: differs from the settings",
 		},
 	} {
 		t.Run(c.want, func(t *testing.T) {
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -69,7 +69,7 @@
 }
 
 // start listens on the gossip address and starts the gossip agent. It does nothing if no gossip file is configured, and
-// fails if the address can't be bound.
+// fails if the agent can't be started.
 func (g *gossipAdapter) start() error {
 	config := g.config
 	if config.Gossip == nil {
--- a/internal/server/shadow.go
+++ b/internal/server/shadow.go
@@ -38,7 +38,7 @@
 		{"family-info.origin-kind", shadow.OriginKind == active.OriginKind},
 	} {
 		if !part.equal {
-			return nil, fmt.Errorf("setup %s: not those of the settings", part.name)
+			return nil, fmt.Errorf("setup %s: differs from the settings", part.name)
 		}
 	}
 	return shadow, nil
