--- a/internal/wire/attempterror.go
+++ b/internal/wire/attempterror.go
@@ -5,39 +5,40 @@
 	"fmt"
 )
 
-// Progress is the progress of an upstream attempt at the moment when it ended.
+// Progress is the stage that an upstream attempt had reached when it ended.
 type Progress uint8
 
-// The stages of an upstream attempt, in their order.
+// The stages of an upstream attempt, in order.
 const (
-	Dialing Progress = iota // the connection is not established
-	Writing                 // connected; the last byte of the request is not written
+	Dialing Progress = iota // the connection is not established yet
+	Writing                 // connected; the request is not completely written yet
 	Waiting                 // the request is written; no byte of the response has been received
-	Reading                 // a part of the response has been received
+	Reading                 // part of the response has been received
 )
 
-// String returns the stage in lower case, as error texts have it.
-func (f Progress) String() string { return [...]string{"dialing", "writing", "waiting", "reading"}[f] }
+// String returns the name of the stage in lower case, as used in error texts.
+func (p Progress) String() string { return [...]string{"dialing", "writing", "waiting", "reading"}[p] }
 
 // AttemptError is the error of an upstream attempt that ended without a complete response.
 type AttemptError struct {
-	Progress Progress // the stage in which it ended
+	Progress Progress // the stage in which the attempt ended
 	Err      error    // the cause
 }
 
 // Error returns the stage and the cause.
-func (h *AttemptError) Error() string { return fmt.Sprintf("%s: %v", h.Progress, h.Err) }
+func (e *AttemptError) Error() string { return fmt.Sprintf("%s: %v", e.Progress, e.Err) }
 
 // Unwrap returns the cause.
-func (h *AttemptError) Unwrap() error { return h.Err }
+func (e *AttemptError) Unwrap() error { return e.Err }
 
-// MayHaveRun reports whether the server may have begun to process the request, so that only an idempotent one may be retried.
-func (h *AttemptError) MayHaveRun() bool { return h.Progress >= Waiting }
+// MayHaveRun reports whether the server may have begun to process the request. If so, the request may be retried only if
+// it is idempotent.
+func (e *AttemptError) MayHaveRun() bool { return e.Progress >= Waiting }
 
 var (
-	// ErrIncomplete reports that the bytes at hand are the beginning of a message that is not complete yet.
-	ErrIncomplete = errors.New("more to come")
-	// ErrProtocol reports a violation of the protocol. The connection can't be used any further.
+	// ErrIncomplete reports that the input ends before the end of the message, and more bytes are needed to parse it.
+	ErrIncomplete = errors.New("incomplete message")
+	// ErrProtocol reports a protocol violation by the peer. The connection must not be used any longer.
 	ErrProtocol = errors.New("bad bytes")
 )
 
--- a/internal/wire/cacheresponse.go
+++ b/internal/wire/cacheresponse.go
@@ -7,13 +7,14 @@
 	"woodproxy/balancer"
 )
 
-// maxElements is how many elements the array of a cache's response may have, the value included.
+// maxElements is the maximum number of elements in the array of a cache's response, including the value.
 const maxElements = 8
 
-// ReadCacheResponse reads the response of a cache to one attempt up to its value. Only a completed one has a value and
-// elements behind it. Errors are of type [*AttemptError].
+// ReadCacheResponse reads the response of a cache to one attempt up to its value. Only a response whose outcome is
+// [balancer.Completed] has a value and elements after it. Errors are of type [*AttemptError].
 func ReadCacheResponse(r *bufio.Reader) (Response, error) { return readResponse(r, parseCacheResponse) }
 
+// parseCacheResponse parses a response up to its value.
 func parseCacheResponse(r *bufio.Reader) (Response, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -25,7 +26,7 @@
 	case '*':
 		return readCacheArray(r, line)
 	}
-	return Response{}, protocolError("an answer that is no array")
+	return Response{}, protocolError("a response that is not an array")
 }
 
 // parseCacheError maps an error response to an outcome.
@@ -39,23 +40,24 @@
 	return Response{Outcome: balancer.ServerError, Reusable: true}, nil
 }
 
-// readCacheArray reads the opening of the value, which is the first element; a null one is a cache miss.
+// readCacheArray parses the line that opens the array and reads the first line of the value, which is the first element.
+// If the value is null, the response is a cache miss and is read completely.
 func readCacheArray(r *bufio.Reader, line []byte) (Response, error) {
 	elements, ok := parseDecimal(line[1:])
 	if !ok || elements < 1 || elements > maxElements {
-		return Response{}, protocolError("an array of odd length")
+		return Response{}, protocolError("an array length out of range")
 	}
 	length, err := readElementLength(r, MaxResponseValue)
 	if err != nil {
 		return Response{}, err
 	}
-	a := Response{Outcome: balancer.Completed, ValueLength: length, Reusable: true, trailing: elements - 1, bulk: true}
+	resp := Response{Outcome: balancer.Completed, ValueLength: length, Reusable: true, trailing: elements - 1, bulk: true}
 	switch {
 	case length == simpleElement:
-		a.body = []byte{}
+		resp.body = []byte{}
 	case length < 0:
-		a.Outcome, a.ValueLength = balancer.CacheMiss, 0
-		return a, a.SkipTrailing(r)
+		resp.Outcome, resp.ValueLength = balancer.CacheMiss, 0
+		return resp, resp.SkipTrailing(r)
 	}
-	return a, nil
+	return resp, nil
 }
--- a/internal/wire/command.go
+++ b/internal/wire/command.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// MaxBufferedValue is the longest value, in bytes, that is buffered completely before it is forwarded to a client.
+	// MaxBufferedValue is the maximum length in bytes of a value that is buffered completely before it is forwarded to a
+	// client.
 	MaxBufferedValue = 64 << 10
-	// MaxResponseValue is the longest value, in bytes, that is forwarded to a client at all.
+	// MaxResponseValue is the maximum length in bytes of a value that is forwarded to a client.
 	MaxResponseValue = 4 << 20
-	// MaxRequestValue is the longest value, in bytes, that a client may write.
+	// MaxRequestValue is the maximum length in bytes of a value that a client may write.
 	MaxRequestValue = 4 << 20
 )
 
@@ -20,7 +21,7 @@
 	maxArgumentLength = 1 << 10 // in bytes
 )
 
-// The arguments of a command, by their position.
+// Positions of the arguments of a command.
 const (
 	nameArgument = iota
 	keyArgument
@@ -30,28 +31,29 @@
 )
 
 const (
-	readArguments  = 4 // arguments of a KV.GET
-	writeArguments = 5 // arguments of a KV.SET, its value included
+	readArguments  = 4 // number of arguments of KV.GET, including the name
+	writeArguments = 5 // number of arguments of KV.SET, including the name and the value
 )
 
-// noValue is the length of the value of a command that has none.
+// noValue is the value length of a command without a value.
 const noValue = -1
 
+// Names of the proxied commands.
 const (
 	getCommand = "KV.GET"
 	setCommand = "KV.SET"
 )
 
-// Command is a client's request. Its arguments are slices of the buffer that it was parsed from.
+// Command is a client's command. Its arguments are slices of the buffer from which it was parsed.
 type Command struct {
 	Name, Key, ID, Facts []byte
-	ValueLength          int // length in bytes of the value that follows the command; -1: none follows
+	ValueLength          int // length in bytes of the value that follows the command; -1: no value
 }
 
-// Is reports whether the command has the given name, regardless of case.
+// Is reports whether the command has the given name, ignoring case.
 func (c *Command) Is(name string) bool { return bytes.EqualFold(c.Name, []byte(name)) }
 
-// setArgument stores one of the arguments that are used; the others are dropped.
+// setArgument stores the argument at the given position if the proxy uses it.
 func (c *Command) setArgument(position int, argument []byte) {
 	switch position {
 	case nameArgument:
@@ -66,8 +68,8 @@
 }
 
 // ParseCommand parses the command at the start of b and returns the number of bytes consumed. A write is consumed up to
-// its value, which follows with its line end. The error is [ErrIncomplete] where b holds a part of the command only, and wraps
-// [ErrProtocol] where it is malformed.
+// its value; the value and its line end follow. The error is [ErrIncomplete] if b contains only a part of the command,
+// and wraps [ErrProtocol] if the command is malformed.
 func ParseCommand(b []byte) (c Command, n int, err error) {
 	c.ValueLength = noValue
 	count, n, err := parseLength(b, 0, '*')
@@ -102,7 +104,8 @@
 	return c, n, nil
 }
 
-// parseArgument parses an argument of the given length and its line end at b[at:]. It returns the position behind them.
+// parseArgument parses an argument of the given length and its line end at b[at:]. It returns the position after the
+// line end. The error is [ErrIncomplete] or wraps [ErrProtocol].
 func parseArgument(b []byte, at, length int) (argument []byte, next int, err error) {
 	if length < 0 || length > maxArgumentLength {
 		return nil, 0, protocolError("a word of " + strconv.Itoa(length) + " bytes")
@@ -117,8 +120,8 @@
 	return b[at:end], end + len(lineEnd), nil
 }
 
-// AppendCommand appends the command of an attempt at a cache. A value that follows is not appended, only its length in
-// bytes; with a length of -1 the command has no value.
+// AppendCommand appends the command for an attempt at a cache. value is the length in bytes of the command's value, or -1
+// if it has none. The value itself is not appended; the caller writes it and its line end afterwards.
 func AppendCommand(b []byte, name, key, id, facts []byte, value int) []byte {
 	count := readArguments
 	if value >= 0 {
@@ -135,7 +138,7 @@
 	return b
 }
 
-// AppendPlainCommand appends a command that is not a client's request, such as PING.
+// AppendPlainCommand appends a command that does not forward a client's request, such as PING.
 func AppendPlainCommand(b []byte, arguments ...string) []byte {
 	b = AppendLength(b, '*', len(arguments))
 	for _, argument := range arguments {
--- a/internal/wire/resp.go
+++ b/internal/wire/resp.go
@@ -8,26 +8,27 @@
 	"strconv"
 )
 
-// lineEnd ends each line and each bulk string of RESP2.
+// lineEnd terminates each line and each bulk string in RESP2.
 const lineEnd = "\r\n"
 
-// maxLengthLine is how many bytes are looked at for the end of a line that holds a length.
+// maxLengthLine is the maximum number of bytes searched for the end of a line that holds a length.
 const maxLengthLine = 16
 
-// maxDigits keeps a number within 32 bits.
+// maxDigits is the maximum number of digits of a number, which keeps it within 32 bits.
 const maxDigits = 9
 
-// Lengths of elements that are no bulk string.
+// Values returned by readElementLength for elements that are not a bulk string.
 const (
-	nullElement   = -1
-	simpleElement = -2 // an integer or a simple string, which is one line
+	nullElement   = -1 // a null bulk string
+	simpleElement = -2 // an integer or a simple string, which consists of one line
 )
 
-// startsWithLineEnd reports whether b, of two bytes at least, starts with a line end.
+// startsWithLineEnd reports whether b, which must have at least two bytes, starts with a line end.
 func startsWithLineEnd(b []byte) bool { return b[0] == '\r' && b[1] == '\n' }
 
-// parseLength parses a type byte, a number and the line end at b[at:]. It returns the number and the position behind
-// them.
+// parseLength parses a type byte, a number and the line end at b[at:]. It returns the number and the position after
+// the line end. The error is [ErrIncomplete] if b ends before the line end, and wraps [ErrProtocol] if the line is
+// malformed.
 func parseLength(b []byte, at int, typeByte byte) (length, next int, err error) {
 	if at >= len(b) {
 		return 0, 0, ErrIncomplete
@@ -50,7 +51,7 @@
 	return length, at + end + 1, nil
 }
 
-// parseDecimal parses a number, which may be negative. It does not allocate, as strconv would on the way to a string.
+// parseDecimal parses a decimal number, which may be negative. Unlike strconv, which needs a string, it does not allocate.
 func parseDecimal(digits []byte) (number int, ok bool) {
 	negative := len(digits) > 0 && digits[0] == '-'
 	if negative {
@@ -71,17 +72,17 @@
 	return number, true
 }
 
-// AppendLength appends a type byte and a number with its line end.
+// AppendLength appends a type byte, a number and a line end.
 func AppendLength(b []byte, typeByte byte, number int) []byte {
 	b = strconv.AppendInt(append(b, typeByte), int64(number), 10)
 	return append(b, lineEnd...)
 }
 
-// ReadBulkString reads one element: a bulk string of [MaxResponseValue] bytes at most, or nil where it is null. Integers and simple
-// strings are read as empty.
+// ReadBulkString reads one element and returns the value of a bulk string of at most [MaxResponseValue] bytes. The value
+// is nil for a null bulk string, and empty for an integer or a simple string.
 func ReadBulkString(r *bufio.Reader) ([]byte, error) { return readElement(r, MaxResponseValue) }
 
-// readElement reads one element, whose value may have as many bytes as given.
+// readElement reads one element. Its value may have at most maxLength bytes.
 func readElement(r *bufio.Reader, maxLength int) ([]byte, error) {
 	length, err := readElementLength(r, maxLength)
 	switch {
@@ -95,8 +96,8 @@
 	return readBulkValue(r, length)
 }
 
-// readElementLength reads the line that opens an element and returns the length of the bulk string that follows in
-// bytes, nullElement or simpleElement.
+// readElementLength reads the first line of an element. It returns the length in bytes of the bulk string that follows,
+// nullElement or simpleElement.
 func readElementLength(r *bufio.Reader, maxLength int) (int, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return length, nil
 }
 
-// readBulkValue reads the value of a bulk string with its line end.
+// readBulkValue reads the value of a bulk string and its line end. It returns the value without the line end.
 func readBulkValue(r *bufio.Reader, length int) ([]byte, error) {
 	b, err := readExactly(r, length+len(lineEnd))
 	if err != nil {
@@ -124,11 +125,11 @@
 	return b[:length:length], nil
 }
 
-// elementEndError reports a bulk string that is not followed by a line end.
-func elementEndError() error { return protocolError("an element without its end") }
+// elementEndError returns the error for a bulk string that is not followed by a line end.
+func elementEndError() error { return protocolError("an element without its line end") }
 
-// readExactly reads n bytes. The buffer for a long value grows as its bytes are received, so that a peer that
-// announces a length only takes up no memory.
+// readExactly reads n bytes. The buffer for a long value grows as its bytes are received, so that a peer cannot make the
+// proxy allocate memory by announcing a length without sending the value.
 func readExactly(r *bufio.Reader, n int) ([]byte, error) {
 	b := make([]byte, 0, min(n, MaxBufferedValue+len(lineEnd)))
 	for len(b) < n {
@@ -143,7 +144,8 @@
 	return b, nil
 }
 
-// unexpectedEOF replaces the end of the input, which is an error within a message.
+// unexpectedEOF returns io.ErrUnexpectedEOF for io.EOF, because the input must not end within a message, and other errors
+// unchanged.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -151,19 +153,19 @@
 	return err
 }
 
-// readLine reads a line that fits the reader's buffer. It returns it without its line end, never empty, and valid until
-// the next read.
+// readLine reads a line, which must fit in the reader's buffer. It returns the line without its line end. The line is not
+// empty and is valid until the next read.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	b, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return nil, protocolError("a line that does not end")
+		return nil, protocolError("a line longer than the read buffer")
 	}
 	if err != nil {
 		return nil, err
 	}
 	content := len(b) - len(lineEnd)
 	if content < 1 || !startsWithLineEnd(b[content:]) {
-		return nil, protocolError("an empty line or one without its end")
+		return nil, protocolError("an empty line, or one that does not end in CRLF")
 	}
 	return b[:content], nil
 }
--- a/internal/wire/response.go
+++ b/internal/wire/response.go
@@ -6,42 +6,44 @@
 	"woodproxy/balancer"
 )
 
-// Response is the response of a cache or of the origin to one attempt. It is read in steps: [ReadCacheResponse] or [ReadOriginResponse]
-// reads up to the value. Then [Response.ReadValue] reads the value, or the caller reads it piece by piece and then calls
-// [Response.ReadValueEnd]. [Response.SkipTrailing] reads what follows the value.
+// Response is the response of a cache or of the origin to one attempt. It is read in steps: [ReadCacheResponse] or
+// [ReadOriginResponse] reads up to the value. Then either [Response.ReadValue] reads the value, or the caller reads the
+// value in parts and then calls [Response.ReadValueEnd]. Finally, [Response.SkipTrailing] reads the elements after the
+// value.
 type Response struct {
 	Outcome     balancer.Outcome
 	ValueLength int    // length of the value in bytes
-	NotFound    bool   // the origin reports that it has no such key, a fault for callers that don't handle it
+	NotFound    bool   // the origin does not have the key; callers that do not handle this treat it as a fault
 	Reusable    bool   // the connection may be reused for another attempt
-	trailing    int    // elements behind the value
-	bulk        bool   // the value is a bulk string, which has a line end
-	body        []byte // the value where it was read together with the head, else nil
+	trailing    int    // number of unread elements after the value
+	bulk        bool   // the value is a bulk string, which ends with a line end
+	body        []byte // the value if it was read together with the head, else nil
 }
 
-// BufferedValue returns the value and true where it has been read together with the head, because its length was not announced.
-func (a *Response) BufferedValue() ([]byte, bool) { return a.body, a.body != nil }
+// BufferedValue returns the value and true if the value was read together with the head, because its length was not
+// announced. Otherwise it returns nil and false.
+func (resp *Response) BufferedValue() ([]byte, bool) { return resp.body, resp.body != nil }
 
 // ReadValue reads the value and its line end, if it has one, into memory. Errors are of type [*AttemptError].
-func (a *Response) ReadValue(r *bufio.Reader) ([]byte, error) {
-	if a.body != nil {
-		return a.body, nil
+func (resp *Response) ReadValue(r *bufio.Reader) ([]byte, error) {
+	if resp.body != nil {
+		return resp.body, nil
 	}
 	read := readExactly
-	if a.bulk {
+	if resp.bulk {
 		read = readBulkValue
 	}
-	value, err := read(r, a.ValueLength)
+	value, err := read(r, resp.ValueLength)
 	if err != nil {
 		return nil, &AttemptError{Reading, err}
 	}
 	return value, nil
 }
 
-// ReadValueEnd reads the line end, if there is one, behind a value that the caller has read piece by piece. Errors are of type
+// ReadValueEnd reads the line end, if there is one, after a value that the caller has read in parts. Errors are of type
 // [*AttemptError].
-func (a *Response) ReadValueEnd(r *bufio.Reader) error {
-	if !a.bulk {
+func (resp *Response) ReadValueEnd(r *bufio.Reader) error {
+	if !resp.bulk {
 		return nil
 	}
 	end, err := readExactly(r, len(lineEnd))
@@ -54,9 +56,9 @@
 	return nil
 }
 
-// SkipTrailing reads and drops the elements behind the value. Errors are of type [*AttemptError].
-func (a *Response) SkipTrailing(r *bufio.Reader) error {
-	for ; a.trailing > 0; a.trailing-- {
+// SkipTrailing reads and discards the elements after the value. Errors are of type [*AttemptError].
+func (resp *Response) SkipTrailing(r *bufio.Reader) error {
+	for ; resp.trailing > 0; resp.trailing-- {
 		if _, err := readElement(r, MaxBufferedValue); err != nil {
 			return &AttemptError{Reading, err}
 		}
@@ -64,14 +66,14 @@
 	return nil
 }
 
-// readResponse waits for the first byte of a response and parses it. Errors are of type [*AttemptError].
+// readResponse waits for the first byte of a response and then calls parse. Errors are of type [*AttemptError].
 func readResponse(r *bufio.Reader, parse func(*bufio.Reader) (Response, error)) (Response, error) {
 	if _, err := r.Peek(1); err != nil {
 		return Response{}, &AttemptError{Waiting, err}
 	}
-	a, err := parse(r)
+	resp, err := parse(r)
 	if err != nil {
 		return Response{}, &AttemptError{Reading, err}
 	}
-	return a, nil
+	return resp, nil
 }
