--- a/internal/wire/facts.go
+++ b/internal/wire/facts.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Facts are the entries of a command's list of facts that the proxy uses. The values are slices of that list.
+// Facts holds the entries of a command's facts argument that the proxy uses. The byte slices refer to that argument.
 type Facts struct {
-	Route, Tenant    []byte // Tenant is nil where the client gives none
-	WaitMilliseconds int    // how long the client waits for the response, in milliseconds
-	Retry            bool   // the client retries an earlier request
+	Route, Tenant    []byte // Tenant is nil if the client names none
+	WaitMilliseconds int    // time for which the client waits for the reply, in milliseconds
+	Retry            bool   // the request is the client's retry of an earlier one
 }
 
-// ParseFacts parses a list such as c=read,t=acme,d=480. Unknown names are skipped. The error wraps [ErrProtocol] where the
-// list is malformed, or lacks the route or the wait.
+// ParseFacts parses a list of facts such as c=read,t=acme,d=480. Unknown names are ignored. The error wraps [ErrProtocol]
+// if the list is malformed or lacks the route (c) or the wait (d).
 func ParseFacts(list []byte) (f Facts, err error) {
 	f.WaitMilliseconds = -1
 	for entry := range bytes.SplitSeq(list, []byte(",")) {
@@ -32,18 +32,18 @@
 		case "d":
 			milliseconds, _, _ := bytes.Cut(value, []byte(".")) // rounded down
 			if f.WaitMilliseconds, ok = parseDecimal(milliseconds); !ok || f.WaitMilliseconds < 0 {
-				return f, protocolError("a mistyped d")
+				return f, protocolError("a malformed d")
 			}
 		}
 	}
 	if f.Route == nil || f.WaitMilliseconds < 0 {
-		return f, protocolError("no c or no d among the facts")
+		return f, protocolError("facts without c or d")
 	}
 	return f, nil
 }
 
-// CheckPrintable returns an error that wraps [ErrProtocol] where a text holds control characters, with which it could forge HTTP
-// headers.
+// CheckPrintable returns an error that wraps [ErrProtocol] if any of the texts contains a control character. Control
+// characters would allow a client to inject HTTP headers into requests to the origin.
 func CheckPrintable(texts ...[]byte) error {
 	for _, text := range texts {
 		for _, char := range text {
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// AppendFacts appends a list of facts as it was received, except that d becomes how long this proxy waits, in
-// milliseconds.
+// AppendFacts appends a list of facts as it was received, except that the value of d is replaced by wait, the time for
+// which this proxy waits, in milliseconds.
 func AppendFacts(b []byte, list []byte, wait int) []byte {
 	for rest, more := string(list), true; more; {
 		var entry string
