--- a/internal/wire/chunkedreader.go
+++ b/internal/wire/chunkedreader.go
@@ -7,20 +7,20 @@
 	"strconv"
 )
 
-// chunkSizeBits keeps the size of a chunk within a positive int of 32 bits.
+// chunkSizeBits is the maximum number of bits of a chunk size, so that the size fits in a positive 32-bit int.
 const chunkSizeBits = 31
 
-// chunkedReader reads a body in chunked transfer encoding. It returns io.EOF behind the last chunk and its trailers.
+// chunkedReader reads a body in chunked transfer encoding. It returns io.EOF after the last chunk and the trailers.
 type chunkedReader struct {
-	in      *bufio.Reader
-	left    int  // bytes of the current chunk that are still to be read
-	ended   bool // the last chunk has been read
-	started bool // a chunk has been read, whose line end is still to be read
+	in        *bufio.Reader
+	remaining int  // unread bytes of the current chunk
+	ended     bool // the last chunk and the trailers have been read
+	started   bool // the first chunk has been opened, so a line end precedes the next chunk
 }
 
-// Read implements io.Reader.
+// Read implements [io.Reader].
 func (c *chunkedReader) Read(p []byte) (int, error) {
-	if c.left == 0 && !c.ended {
+	if c.remaining == 0 && !c.ended {
 		if err := c.openChunk(); err != nil {
 			return 0, err
 		}
@@ -28,12 +28,13 @@
 	if c.ended {
 		return 0, io.EOF
 	}
-	n, err := c.in.Read(p[:min(len(p), c.left)])
-	c.left -= n
+	n, err := c.in.Read(p[:min(len(p), c.remaining)])
+	c.remaining -= n
 	return n, unexpectedEOF(err)
 }
 
-// openChunk reads the end of the chunk before and the line that opens the next one, or all that trails the last one.
+// openChunk reads the line end of the previous chunk, if there is one, and the size line of the next chunk. If the next
+// chunk is the last, it also reads the trailers.
 func (c *chunkedReader) openChunk() error {
 	if c.started {
 		line, err := c.readLine()
@@ -41,7 +42,7 @@
 			return err
 		}
 		if len(line) > 0 {
-			return protocolError("a chunk without its end")
+			return protocolError("a chunk without its line end")
 		}
 	}
 	line, err := c.readLine()
@@ -51,15 +52,16 @@
 	size, _, _ := bytes.Cut(line, []byte(";"))
 	length, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, chunkSizeBits)
 	if err != nil {
-		return protocolError("a mistyped chunk size")
+		return protocolError("a malformed chunk size")
 	}
-	c.left, c.started, c.ended = int(length), true, length == 0
+	c.remaining, c.started, c.ended = int(length), true, length == 0
 	if c.ended {
 		return c.skipTrailers()
 	}
 	return nil
 }
 
+// skipTrailers reads and discards the trailers and the empty line after them.
 func (c *chunkedReader) skipTrailers() error {
 	for {
 		line, err := c.readLine()
@@ -69,7 +71,8 @@
 	}
 }
 
-// readLine returns a line without its line end. The end of the input is an error here, since the body is not complete.
+// readLine reads a line and returns it without its line end. The end of the input is io.ErrUnexpectedEOF, because the
+// body is not complete.
 func (c *chunkedReader) readLine() ([]byte, error) {
 	line, err := c.in.ReadSlice('\n')
 	if err != nil {
--- a/internal/wire/httphead.go
+++ b/internal/wire/httphead.go
@@ -6,25 +6,25 @@
 	"errors"
 )
 
-// maxHead is the longest head of an HTTP response, in bytes.
+// maxHead is the maximum length in bytes of the head of an HTTP response.
 const maxHead = 16 << 10
 
-// minStatusLine is the shortest status line, "HTTP/1.1 200" with its line end, in bytes.
+// minStatusLine is the minimum length in bytes of a status line: "HTTP/1.1 200" and its line end.
 const minStatusLine = 14
 
-// unknownLength is the length of a body that is not announced by a Content-Length.
+// unknownLength is the length of a body without a Content-Length header.
 const unknownLength = -1
 
-// httpHead holds the parts of the head of an HTTP response that are used.
+// httpHead holds the parts of the head of an HTTP response that the proxy uses.
 type httpHead struct {
 	status      int
-	length      int // of the body in bytes, or unknownLength
+	length      int // length of the body in bytes, or unknownLength
 	chunked     bool
-	closes      bool // the server closes the connection behind the response
+	closes      bool // the server closes the connection after the response
 	unprocessed bool // the origin states that it did not process the request
 }
 
-// readHTTPHead parses the head of a response in place, line by line. Interim responses (1xx) are skipped.
+// readHTTPHead parses the head of a response in place, line by line, and skips interim responses (1xx).
 func readHTTPHead(r *bufio.Reader) (httpHead, error) {
 	for {
 		h, err := readOneHTTPHead(r)
@@ -33,13 +33,14 @@
 			return httpHead{}, err
 		case h.status < 200:
 			continue
-		case h.status == 204 || h.status == 304: // neither has a body, whatever its headers announce
+		case h.status == 204 || h.status == 304: // these have no body, regardless of their headers
 			h.length, h.chunked = 0, false
 		}
 		return h, nil
 	}
 }
 
+// readOneHTTPHead parses one head, which may be that of an interim response.
 func readOneHTTPHead(r *bufio.Reader) (httpHead, error) {
 	line, err := r.ReadSlice('\n')
 	if err != nil {
@@ -54,7 +55,7 @@
 			return httpHead{}, httpLineError(err)
 		}
 		if size += len(line); size > maxHead {
-			return httpHead{}, protocolError("an HTTP head that does not end")
+			return httpHead{}, protocolError("an HTTP head that is too long")
 		}
 		line = bytes.TrimRight(line, lineEnd)
 		if len(line) == 0 {
@@ -70,33 +71,34 @@
 	}
 }
 
+// parseStatusLine parses an HTTP/1 status line. A server of HTTP/1.0 closes the connection by default.
 func parseStatusLine(line []byte) (httpHead, error) {
 	if len(line) < minStatusLine || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' {
-		return httpHead{}, protocolError("no HTTP/1 status line")
+		return httpHead{}, protocolError("not an HTTP/1 status line")
 	}
 	status, ok := parseDecimal(line[9:12])
 	if !ok || status < 100 {
-		return httpHead{}, protocolError("a mistyped HTTP status")
+		return httpHead{}, protocolError("a malformed HTTP status")
 	}
 	return httpHead{status: status, length: unknownLength, closes: line[7] == '0'}, nil
 }
 
-// httpLineError turns a line that is longer than the reader's buffer into a protocol error.
+// httpLineError returns a protocol error if a line was longer than the reader's buffer, and other errors unchanged.
 func httpLineError(err error) error {
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return protocolError("an HTTP line that does not end")
+		return protocolError("an HTTP line longer than the read buffer")
 	}
 	return err
 }
 
-// setHeader takes one header into account. Unknown ones are skipped.
+// setHeader records one header field. Fields that the proxy does not use are ignored.
 func (h *httpHead) setHeader(name, value []byte) error {
 	is := func(header string) bool { return bytes.EqualFold(name, []byte(header)) }
 	switch {
 	case is("Content-Length"):
 		length, ok := parseDecimal(value)
 		if !ok || length < 0 || h.length >= 0 && h.length != length {
-			return protocolError("a mistyped Content-Length")
+			return protocolError("a malformed Content-Length")
 		}
 		h.length = length
 	case is("Transfer-Encoding"):
--- a/internal/wire/origin.go
+++ b/internal/wire/origin.go
@@ -8,12 +8,12 @@
 	"woodproxy/balancer"
 )
 
-// maxUnknownLength is the longest body of unknown length, in bytes. It is buffered completely, since the length has
-// to be announced to clients.
+// maxUnknownLength is the maximum length in bytes of a body whose length is not announced. Such a body is buffered
+// completely, because the reply to the client begins with its length.
 const maxUnknownLength = 1 << 20
 
-// AppendOriginRequest appends the head of the HTTP request of an attempt at the origin. A value of the given length in bytes
-// follows as the body of a write; with a length of -1 the request is a read.
+// AppendOriginRequest appends the head of the HTTP request for an attempt at the origin. value is the length in bytes of
+// the value that follows as the body of a write, or -1 for a read.
 func AppendOriginRequest(b []byte, host string, key, id, facts []byte, value int) []byte {
 	method := "GET /"
 	if value >= 0 {
@@ -29,7 +29,7 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// appendPathEscaped appends a path segment with all but the unreserved characters of RFC 3986 percent-encoded.
+// appendPathEscaped appends a path segment and percent-encodes all characters except the unreserved ones of RFC 3986.
 func appendPathEscaped(b, segment []byte) []byte {
 	const digits = "0123456789ABCDEF"
 	for _, c := range segment {
@@ -43,32 +43,34 @@
 	return b
 }
 
-// ReadOriginResponse reads the response of the origin to one attempt up to its value, or with its value where the length is
-// not announced. Errors are of type [*AttemptError].
+// ReadOriginResponse reads the response of the origin to one attempt up to its value, or including its value if the
+// length is not announced. Errors are of type [*AttemptError].
 func ReadOriginResponse(r *bufio.Reader) (Response, error) {
 	return readResponse(r, parseOriginResponse)
 }
 
+// parseOriginResponse parses a response up to its value, or including its value if the length is not announced. The body
+// of a response that is not completed is read and discarded.
 func parseOriginResponse(r *bufio.Reader) (Response, error) {
 	h, err := readHTTPHead(r)
 	if err != nil {
 		return Response{}, err
 	}
-	a := Response{Outcome: h.outcome(), ValueLength: h.length, NotFound: h.status == 404}
+	resp := Response{Outcome: h.outcome(), ValueLength: h.length, NotFound: h.status == 404}
 	switch {
 	case h.chunked || h.length < 0:
-		a.body, err = h.readBody(r)
-		a.ValueLength = len(a.body)
+		resp.body, err = h.readBody(r)
+		resp.ValueLength = len(resp.body)
 	case h.length > MaxResponseValue:
 		err = protocolError("a body of " + strconv.Itoa(h.length) + " bytes")
-	case a.Outcome != balancer.Completed:
+	case resp.Outcome != balancer.Completed:
 		_, err = readExactly(r, h.length)
 	}
-	a.Reusable = !h.closes
-	return a, err
+	resp.Reusable = !h.closes
+	return resp, err
 }
 
-// outcome maps the status of an origin's response to an outcome.
+// outcome maps the status of an origin response to an outcome.
 func (h *httpHead) outcome() balancer.Outcome {
 	switch {
 	case h.status == 200:
@@ -79,7 +81,7 @@
 	return balancer.ServerError
 }
 
-// readBody reads a body of unknown length: chunked, or up to the end of the connection.
+// readBody reads a body whose length is not announced: a chunked body, or all bytes up to the end of the connection.
 func (h *httpHead) readBody(r *bufio.Reader) ([]byte, error) {
 	var in io.Reader = r
 	if h.chunked {
