--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -11,15 +11,15 @@
 	"github.com/valyala/fastjson"
 )
 
-// The statuses of an endpoint in discovery's list.
+// Values of the status field of an endpoint in discovery's list.
 const (
 	statusActive   = "active"
 	statusDraining = "leaving"
 	statusDeparted = "left"
 )
 
-// Endpoint is an endpoint of discovery's list. Its encoding is also the body of a replicated row, so that the msgpack
-// tags are part of the protocol between proxies and of the state file.
+// Endpoint is an endpoint of discovery's list. Its msgpack encoding is also the body of a replicated row, so the msgpack
+// tags are part of the gossip protocol and of the state file format.
 type Endpoint struct {
 	Name               string  `msgpack:"Name"`
 	Address            string  `msgpack:"Address"`
@@ -27,49 +27,50 @@
 	Kind               string  `msgpack:"Kind"`
 	Cell               int     `msgpack:"Cell"`
 	Ready              bool    `msgpack:"Ready"` // neither draining nor departed
-	Departed           bool    `msgpack:"Gone"`  // departed
+	Departed           bool    `msgpack:"Gone"`  // removed from the list
 	Weight             float64 `msgpack:"Weight"`
-	StartedAtUnixMilli int64   `msgpack:"Since"` // when it last started, in Unix milliseconds; 0: long ago
-	FromPeer           bool    `msgpack:"-"`     // reported by another proxy, which may reach it at another address
+	StartedAtUnixMilli int64   `msgpack:"Since"` // time of its last start in Unix milliseconds; 0: long ago
+	FromPeer           bool    `msgpack:"-"`     // reported by another proxy, whose address for it may differ
 }
 
-// status returns the endpoint's status in discovery's words.
-func (t *Endpoint) status() string {
+// status returns the endpoint's status as in discovery's list.
+func (e *Endpoint) status() string {
 	switch {
-	case t.Departed:
+	case e.Departed:
 		return statusDeparted
-	case !t.Ready:
+	case !e.Ready:
 		return statusDraining
 	}
 	return statusActive
 }
 
-// EndpointList is an object of discovery: its list, or what has changed of it.
+// EndpointList is one JSON object from discovery: the complete endpoint list or an incremental update.
 type EndpointList struct {
 	Index     int64 // version of the list
-	Whole     bool  // endpoints that it does not name have departed
+	Whole     bool  // complete list: endpoints that are not in it have departed
 	Endpoints []Endpoint
 }
 
-// What a list may hold.
+// Limits of an endpoint list.
 const (
-	maxEndpoints   = 1 << 16
-	maxEndpointRow = 64 << 10 // bytes of an endpoint's line
+	maxEndpoints   = 1 << 16  // endpoints in one list
+	maxValueLength = 64 << 10 // length in bytes of one value of the list, such as an endpoint
 )
 
-// ReadEndpointList reads one object of discovery as it streams, and to the end of the input. It keeps nothing of the
-// text. Errors of the object wrap [ErrProtocol], others are those of the input.
+// ReadEndpointList reads one JSON object from discovery and expects the end of the input after it. The text is parsed as
+// it is read, and the list does not refer to it afterwards. Errors in the object wrap [ErrProtocol]; other errors are
+// those of the input.
 func ReadEndpointList(input io.Reader) (*EndpointList, error) {
 	source := &errorRecorder{input: input}
 	decoder := NewJSONDecoder(source)
 	list, err := DecodeEndpointList(decoder)
 	if err == nil && list == nil {
-		return nil, errNoObject
+		return nil, errNotObject
 	}
 	if err == nil {
 		_, err = decoder.ReadToken()
 		if err == nil {
-			return nil, protocolError("a list that goes on behind its end")
+			return nil, protocolError("data after the end of the endpoint list")
 		}
 	}
 	switch {
@@ -83,18 +84,20 @@
 	return nil, fmt.Errorf("%w: %w", ErrProtocol, err)
 }
 
-// NewJSONDecoder returns a decoder of JSON as it streams, which leaves it to the caller what a key that comes twice means.
+// NewJSONDecoder returns a streaming JSON decoder that accepts invalid UTF-8 and duplicate keys. The caller decides how
+// to handle duplicate keys.
 func NewJSONDecoder(input io.Reader) *jsontext.Decoder {
 	return jsontext.NewDecoder(input, jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
 }
 
-// errorRecorder keeps an input's error, so that it is told from what a decoder makes of a text that ends early.
+// errorRecorder records an error of the input, so that it can be distinguished from a decoder's error about text that
+// ends early.
 type errorRecorder struct {
 	input io.Reader
 	err   error
 }
 
-// Read implements io.Reader.
+// Read implements [io.Reader].
 func (r *errorRecorder) Read(p []byte) (int, error) {
 	n, err := r.input.Read(p)
 	if err != nil && err != io.EOF {
@@ -103,8 +106,8 @@
 	return n, err
 }
 
-// DecodeEndpointList reads one object of discovery where a decoder stands; null is no list, nil. Errors of the object
-// wrap [ErrProtocol], others are the decoder's.
+// DecodeEndpointList reads the decoder's next value, which must be a JSON object from discovery or null. It returns nil
+// for null. Errors in the object wrap [ErrProtocol]; other errors are the decoder's.
 func DecodeEndpointList(decoder *jsontext.Decoder) (*EndpointList, error) {
 	switch token, err := decoder.ReadToken(); {
 	case err != nil:
@@ -112,35 +115,35 @@
 	case token.Kind() == jsontext.KindNull:
 		return nil, nil //nolint:nilnil // as documented
 	case token.Kind() != jsontext.KindBeginObject:
-		return nil, errNoObject
+		return nil, errNotObject
 	}
-	reader := listReader{decoder: decoder, shared: map[string]string{}, list: &EndpointList{}}
+	reader := listReader{decoder: decoder, interned: map[string]string{}, list: &EndpointList{}}
 	if err := reader.read(); err != nil {
 		return nil, err
 	}
 	return reader.list, nil
 }
 
-var errNoObject = protocolError("a list that is no object")
+var errNotObject = protocolError("the endpoint list is not a JSON object")
 
-// listReader reads one list. It parses one line of it at a time.
+// listReader reads one endpoint list. It parses one value of the list at a time.
 type listReader struct {
 	decoder      *jsontext.Decoder
 	parser       fastjson.Parser
-	shared       map[string]string // texts that many endpoints have in common
+	interned     map[string]string // strings that many endpoints have in common, by their text
 	list         *EndpointList
 	hasIndex     bool
 	hasEndpoints bool
 }
 
-// read reads what follows the object's opening brace.
+// read reads the object after its opening brace.
 func (r *listReader) read() error {
 	for r.decoder.PeekKind() != jsontext.KindEndObject {
 		if err := r.readMember(); err != nil {
 			return err
 		}
 	}
-	if _, err := r.decoder.ReadToken(); err != nil { // the end of the object
+	if _, err := r.decoder.ReadToken(); err != nil { // the closing brace
 		return err
 	}
 	switch {
@@ -152,6 +155,7 @@
 	return nil
 }
 
+// readMember reads one key and its value.
 func (r *listReader) readMember() error {
 	key, err := r.decoder.ReadToken()
 	if err != nil {
@@ -171,17 +175,17 @@
 		r.list.Whole = err == nil && value.GetBool()
 		return err
 	}
-	return r.decoder.SkipValue() // of a later version of the protocol
+	return r.decoder.SkipValue() // a key from a later version of the protocol
 }
 
-// readValue reads a value, which is valid until the next call.
+// readValue reads one value. The value is valid until the next call.
 func (r *listReader) readValue() (*fastjson.Value, error) {
 	text, err := r.decoder.ReadValue()
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > maxEndpointRow {
-		return nil, protocolError("list: a value that is too long")
+	if len(text) > maxValueLength {
+		return nil, protocolError("list: a value is too long")
 	}
 	value, err := r.parser.ParseBytes(text)
 	if err != nil {
@@ -190,6 +194,7 @@
 	return value, nil
 }
 
+// readEndpoints reads the array of endpoints.
 func (r *listReader) readEndpoints() error {
 	switch token, err := r.decoder.ReadToken(); {
 	case err != nil:
@@ -199,11 +204,11 @@
 	}
 	r.hasEndpoints = true
 	for r.decoder.PeekKind() != jsontext.KindEndArray {
-		row, err := r.readValue()
+		value, err := r.readValue()
 		if err != nil {
 			return err
 		}
-		endpoint, err := r.endpoint(row)
+		endpoint, err := r.endpoint(value)
 		if err != nil {
 			return err
 		}
@@ -212,45 +217,46 @@
 		}
 		r.list.Endpoints = append(r.list.Endpoints, endpoint)
 	}
-	_, err := r.decoder.ReadToken() // the end of the array
+	_, err := r.decoder.ReadToken() // the closing bracket
 	return err
 }
 
-// share returns a text that all endpoints with the same text have in common.
-func (r *listReader) share(text []byte) string {
-	if known, ok := r.shared[string(text)]; ok {
+// intern returns a string that all endpoints with the same text share, to save memory.
+func (r *listReader) intern(text []byte) string {
+	if known, ok := r.interned[string(text)]; ok {
 		return known
 	}
 	added := string(text)
-	r.shared[added] = added
+	r.interned[added] = added
 	return added
 }
 
-// endpoint returns the endpoint of a line.
-func (r *listReader) endpoint(row *fastjson.Value) (Endpoint, error) {
-	text := func(key string) string { return string(row.GetStringBytes(key)) }
-	status := string(row.GetStringBytes("status"))
-	t := Endpoint{
-		Name: text("name"), Address: text("address"), Zone: r.share(row.GetStringBytes("zone")), Kind: r.share(row.GetStringBytes("type")),
-		Cell: row.GetInt("group"), Weight: row.GetFloat64("weight"), StartedAtUnixMilli: row.GetInt64("since_ms"),
+// endpoint converts one element of the array of endpoints. The error wraps [ErrProtocol].
+func (r *listReader) endpoint(value *fastjson.Value) (Endpoint, error) {
+	text := func(key string) string { return string(value.GetStringBytes(key)) }
+	status := string(value.GetStringBytes("status"))
+	e := Endpoint{
+		Name: text("name"), Address: text("address"), Zone: r.intern(value.GetStringBytes("zone")),
+		Kind: r.intern(value.GetStringBytes("type")),
+		Cell: value.GetInt("group"), Weight: value.GetFloat64("weight"), StartedAtUnixMilli: value.GetInt64("since_ms"),
 		Ready: status == statusActive, Departed: status == statusDeparted,
 	}
-	if since := row.GetFloat64("since_ms"); t.StartedAtUnixMilli == 0 && since > 0 { // written with a fraction or an exponent
-		t.StartedAtUnixMilli = int64(math.Ceil(since))
+	if since := value.GetFloat64("since_ms"); e.StartedAtUnixMilli == 0 && since > 0 { // with a fraction or an exponent
+		e.StartedAtUnixMilli = int64(math.Ceil(since))
 	}
 	switch {
-	case t.Name == "":
+	case e.Name == "":
 		return Endpoint{}, protocolError("list: name: missing or mistyped")
 	case status != statusActive && status != statusDraining && status != statusDeparted:
-		return Endpoint{}, protocolError("list: " + t.Name + ": status: out of its range")
-	case t.Ready && t.Address == "":
-		return Endpoint{}, protocolError("list: " + t.Name + ": address: missing or mistyped")
+		return Endpoint{}, protocolError("list: " + e.Name + ": status: out of its range")
+	case e.Ready && e.Address == "":
+		return Endpoint{}, protocolError("list: " + e.Name + ": address: missing or mistyped")
 	}
-	return t, nil
+	return e, nil
 }
 
-// AppendEndpointList appends a complete list in the form that [ReadEndpointList] reads. Its index is 0, the version
-// before any of discovery's, because a watch begins with the complete list anyhow.
+// AppendEndpointList appends a complete list in the format that [ReadEndpointList] reads. Its index is 0, which is lower
+// than any index of discovery, because a watch begins with the complete list in any case.
 func AppendEndpointList(b []byte, list []Endpoint) []byte {
 	b = append(b, `{"index":0,"snapshot":true,"endpoints":[`...)
 	var arena fastjson.Arena
@@ -259,20 +265,21 @@
 			b = append(b, ',')
 		}
 		arena.Reset()
-		b = endpointRow(&arena, &list[i]).MarshalTo(b)
+		b = endpointObject(&arena, &list[i]).MarshalTo(b)
 	}
 	return append(b, `]}`...)
 }
 
-func endpointRow(arena *fastjson.Arena, t *Endpoint) *fastjson.Value {
-	row := arena.NewObject()
-	row.Set("name", arena.NewString(t.Name))
-	row.Set("address", arena.NewString(t.Address))
-	row.Set("zone", arena.NewString(t.Zone))
-	row.Set("type", arena.NewString(t.Kind))
-	row.Set("status", arena.NewString(t.status()))
-	row.Set("group", arena.NewNumberInt(t.Cell))
-	row.Set("weight", arena.NewNumberFloat64(t.Weight))
-	row.Set("since_ms", arena.NewNumberString(strconv.FormatInt(t.StartedAtUnixMilli, 10)))
-	return row
+// endpointObject returns the JSON object of an endpoint.
+func endpointObject(arena *fastjson.Arena, e *Endpoint) *fastjson.Value {
+	object := arena.NewObject()
+	object.Set("name", arena.NewString(e.Name))
+	object.Set("address", arena.NewString(e.Address))
+	object.Set("zone", arena.NewString(e.Zone))
+	object.Set("type", arena.NewString(e.Kind))
+	object.Set("status", arena.NewString(e.status()))
+	object.Set("group", arena.NewNumberInt(e.Cell))
+	object.Set("weight", arena.NewNumberFloat64(e.Weight))
+	object.Set("since_ms", arena.NewNumberString(strconv.FormatInt(e.StartedAtUnixMilli, 10)))
+	return object
 }
