--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// MaxWriteDelay is for how long the writing of an attempt may take, so that the deadline that it tells holds: upstreams
-// may be told at most 0.15 s more than the client has left.
+// MaxWriteDelay is the maximum time that writing an attempt may take. The wait sent to the upstream becomes outdated
+// during the write, and it may exceed the client's remaining time by at most 0.15 s.
 const MaxWriteDelay = 100 * time.Millisecond
 
-// AttemptConditions are what decides whether an attempt may begin, as of the moment before its first byte is written.
+// AttemptConditions holds the conditions under which an attempt may begin, as of the moment before its first byte is
+// written.
 type AttemptConditions struct {
 	Request        RequestState
-	Cancelled      bool // by the balancer
-	EndpointReady  bool // it is listed and does not drain
+	Cancelled      bool // the balancer has cancelled the attempt
+	EndpointReady  bool // the endpoint is in the endpoint list and is not draining
 	Now            time.Time
-	Deadline       time.Time // of the attempt
-	DedupWindowEnd time.Time // until which upstreams drop the attempt as a duplicate; zero: it is the first that may run
+	Deadline       time.Time // deadline of the attempt
+	DedupWindowEnd time.Time // time until which upstreams drop duplicates; zero: no earlier attempt may have run
 }
 
-// MayBegin decides whether an attempt may be written, be it the first, a retry or a hedged one.
+// MayBegin decides whether an attempt may be written. The attempt may be the first, a retry or a hedged attempt.
 func (c *AttemptConditions) MayBegin() Refusal {
 	switch {
 	case c.Cancelled:
@@ -33,8 +34,8 @@
 	return Permitted
 }
 
-// MayComplete decides whether the last byte of an attempt may be written, by which the upstream begins it. Writing
-// began at an instant, with a deadline told as of then.
+// MayComplete decides whether the last byte of an attempt may be written. The upstream begins to process the attempt when
+// it receives that byte. began is the time at which writing began; the wait sent to the upstream counts from then.
 func (c *AttemptConditions) MayComplete(began time.Time) Refusal {
 	if refusal := c.MayBegin(); refusal != Permitted {
 		return refusal
--- a/internal/lifecycle/connection.go
+++ b/internal/lifecycle/connection.go
@@ -1,14 +1,14 @@
 package lifecycle
 
-// ClosePhase is how far a client connection is on its way to being closed. A connection only moves to later phases.
+// ClosePhase is the phase of closing a client connection. A connection only moves to later phases.
 type ClosePhase uint8
 
 // Phases of client connections.
 const (
-	PhaseOpen            ClosePhase = iota
-	PhaseCloseAfterReply            // closed right after its next reply, so that no request can cross the close
-	PhaseCloseWhenIdle              // closed once no reply is pending
-	PhaseStopReading                // reads no further command; closed once no reply is pending
+	PhaseOpen            ClosePhase = iota // no close was requested
+	PhaseCloseAfterReply                   // closed immediately after its next reply, so that no request crosses the close
+	PhaseCloseWhenIdle                     // closed once no reply is pending
+	PhaseStopReading                       // reads no further command; closed once no reply is pending
 )
 
 var phaseNames = [...]string{"open", "close_after_reply", "close_when_idle", "stop_reading"}
@@ -16,24 +16,25 @@
 // String returns the phase's name in logs.
 func (p ClosePhase) String() string { return phaseNames[int(p)%len(phaseNames)] }
 
-// ClientConnConditions are what decides whether a client connection may be closed between commands, or be read from.
+// ClientConnConditions holds the conditions under which a client connection may be closed between commands or read from.
 type ClientConnConditions struct {
 	Phase           ClosePhase
-	PendingReplies  int
-	MaxPending      int
-	AnsweredRequest bool // a proxied request was answered since the phase was last looked at
-	CommandPartial  bool // a command, or a value, has been read in part
-	InputUnread     bool // bytes have arrived that were not read
+	PendingReplies  int  // number of requests without a complete reply
+	MaxPending      int  // maximum of PendingReplies
+	AnsweredRequest bool // a proxied request was answered since the phase was last checked
+	CommandPartial  bool // a command or a value has been read only in part
+	InputUnread     bool // bytes have been received that were not read
 }
 
-// MayClose decides whether the connection may be closed now by its phase. Where nothing more is read, bytes that have
-// arrived meanwhile are the client's to send again elsewhere; else they are read and answered first.
+// MayClose decides whether the connection may be closed in its current phase. Input that has been received must be read
+// and answered first. Once the connection reads no more, [ClientConnConditions.MayCloseUnread] applies instead, and the
+// client has to resend such input on another connection.
 func (c *ClientConnConditions) MayClose() Refusal {
 	switch {
 	case c.PendingReplies > 0:
 		return RepliesPending
 	case c.Phase == PhaseOpen, c.Phase == PhaseCloseAfterReply && !c.AnsweredRequest:
-		// Only the reply to a proxied request counts as the next one: PING is how clients ask for the state of the proxy.
+		// Only the reply to a proxied request counts as the next reply, because clients use PING to query the proxy's state.
 		return PhaseTooEarly
 	case c.CommandPartial:
 		return CommandIncomplete
@@ -43,7 +44,7 @@
 	return Permitted
 }
 
-// MayCloseUnread is MayClose for a connection on which nothing more is read.
+// MayCloseUnread decides whether a connection that reads no more may be closed, even if input is unread.
 func (c *ClientConnConditions) MayCloseUnread() Refusal {
 	switch {
 	case c.PendingReplies > 0:
@@ -54,8 +55,8 @@
 	return Permitted
 }
 
-// MayExpire decides whether the connection may be closed because the client has sent nothing, or no more of its
-// command, for the time that it has for that. What has arrived by then is read first.
+// MayExpire decides whether the connection may be closed on a timeout, because the client has sent no command or has not
+// completed its command in time. Input that has been received by then must be read first.
 func (c *ClientConnConditions) MayExpire() Refusal {
 	switch {
 	case c.InputUnread:
@@ -66,8 +67,8 @@
 	return Permitted
 }
 
-// MayRead decides whether more may be read: to read on would overflow the buffer, or take a command that is not to be
-// taken any more.
+// MayRead decides whether the connection may be read from. Reading is refused if it would exceed the maximum number of
+// pending replies, or if no further command may be read.
 func (c *ClientConnConditions) MayRead() Refusal {
 	switch {
 	case c.Phase == PhaseStopReading:
@@ -78,14 +79,14 @@
 	return Permitted
 }
 
-// UpstreamConnConditions are what decides whether an upstream connection may carry another attempt.
+// UpstreamConnConditions holds the conditions under which an upstream connection may be reused for another attempt.
 type UpstreamConnConditions struct {
-	ResponseComplete bool // the last response was read to its end and does not end with the connection
-	UnexpectedInput  bool // there are bytes that answer nothing
-	ClosedByPeer     bool
+	ResponseComplete bool // the last response was read completely, and the connection stays open after it
+	UnexpectedInput  bool // bytes were received that belong to no response
+	ClosedByPeer     bool // the upstream has closed the connection
 }
 
-// MayReuse decides whether the connection may carry another attempt.
+// MayReuse decides whether the connection may be reused for another attempt.
 func (c *UpstreamConnConditions) MayReuse() Refusal {
 	switch {
 	case c.UnexpectedInput:
@@ -98,9 +99,9 @@
 	return Permitted
 }
 
-// WatchConditions are what decides whether a watch of discovery may be opened.
+// WatchConditions holds the conditions under which a discovery watch may be opened.
 type WatchConditions struct {
-	Open      bool // there is one already
+	Open      bool // a watch is already open
 	Delegated bool // other proxies have the duty to watch
 }
 
@@ -115,11 +116,11 @@
 	return Permitted
 }
 
-// ExitConditions are what decides whether the process may exit after it was told to stop.
+// ExitConditions holds the conditions under which the process may exit after it was requested to stop.
 type ExitConditions struct {
 	Accepting        bool // the listener may still accept a connection
-	OpenConnections  int
-	DeadlineExceeded bool // the time for the drain is over
+	OpenConnections  int  // number of open client connections
+	DeadlineExceeded bool // the drain deadline has passed
 }
 
 // MayExit decides whether the process may exit.
--- a/internal/lifecycle/refusal.go
+++ b/internal/lifecycle/refusal.go
@@ -1,34 +1,34 @@
 package lifecycle
 
-// Refusal is why something may not be done now. Its zero value is Permitted.
+// Refusal is the reason why an operation is not permitted now. The zero value is Permitted.
 type Refusal uint8
 
 // Reasons of refusals.
 const (
 	Permitted          Refusal = iota
 	AttemptCancelled           // the balancer has cancelled the attempt
-	RequestAnswered            // the request has its final reply
+	RequestAnswered            // the final reply of the request has been decided
 	ClientGone                 // the request's client has closed its connection
-	EndpointNotReady           // the endpoint drains or has left the endpoint list
+	EndpointNotReady           // the endpoint is draining or is no longer in the endpoint list
 	DedupWindowClosed          // upstreams no longer drop the retry as a duplicate
-	DeadlineExceeded           // the time for it is over
-	DeadlineOutdated           // the deadline that was told to the upstream is later than the client's by now
-	UnexpectedInput            // there are bytes on the connection that answer nothing
+	DeadlineExceeded           // the deadline of the attempt has passed
+	DeadlineOutdated           // writing took too long: the deadline sent to the upstream is now later than the client's
+	UnexpectedInput            // bytes were received that belong to no response
 	ConnectionClosed           // the peer has closed the connection
-	ResponseIncomplete         // the response has not been read to its end, or ends with its connection
+	ResponseIncomplete         // the response has not been read completely, or the connection closes after it
 	RepliesPending             // requests on the connection have no reply yet
-	CommandIncomplete          // a command has been read in part
-	InputUnread                // bytes have arrived that were not read
-	PhaseTooEarly              // nobody has asked for the connection to be closed
-	WatchOpen                  // there is a watch already
+	CommandIncomplete          // a command has been read only in part
+	InputUnread                // bytes have been received that were not read
+	PhaseTooEarly              // the connection's phase does not permit a close yet
+	WatchOpen                  // a watch is already open
 	WatchDelegated             // another proxy has the duty to watch
-	ConnectionsOpen            // clients are still served
-	PendingLimit               // as many commands of the connection as may be are without a reply
-	ReadingStopped             // no further command is read on the connection
+	ConnectionsOpen            // client connections are open or may still be accepted
+	PendingLimit               // the connection has the maximum number of pending replies
+	ReadingStopped             // the connection reads no further commands
 	numRefusals
 )
 
-// refusalNames are the texts of refusals in logs and metrics.
+// refusalNames holds the texts of refusals in logs and metrics.
 var refusalNames = [numRefusals]string{
 	Permitted:          "permitted",
 	AttemptCancelled:   "attempt_cancelled",
@@ -52,10 +52,10 @@
 	ReadingStopped:     "reading_stopped",
 }
 
-// NumRefusals is the number of values of Refusal, Permitted included.
+// NumRefusals is the number of values of Refusal, including Permitted.
 const NumRefusals = int(numRefusals)
 
-// String returns the text in logs and metrics.
+// String returns the refusal's text in logs and metrics.
 func (r Refusal) String() string {
 	if r >= numRefusals {
 		return "unknown"
@@ -63,5 +63,5 @@
 	return refusalNames[r]
 }
 
-// Permitted reports whether it may be done.
+// Permitted reports whether the operation is permitted.
 func (r Refusal) Permitted() bool { return r == Permitted }
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 )
 
-// RequestState is how far a request has come.
+// RequestState is the state of a request.
 type RequestState uint8
 
 // States of requests.
 const (
-	RequestPending   RequestState = iota // it was read whole and has no final reply
-	RequestReplied                       // its final reply is decided, and may be written still
-	RequestAbandoned                     // its client has gone before the final reply
+	RequestPending   RequestState = iota // completely read, without a final reply
+	RequestReplied                       // the final reply is decided, but may not be written yet
+	RequestAbandoned                     // the client has closed its connection before the final reply
 	numRequestStates
 )
 
@@ -21,13 +21,13 @@
 // String returns the state's name in logs.
 func (s RequestState) String() string { return requestStateNames[s%numRequestStates] }
 
-// RequestEvent is what happens to a request.
+// RequestEvent is an event that changes the state of a request.
 type RequestEvent uint8
 
 // Events of requests.
 const (
-	ReplyDecided RequestEvent = iota // its final reply is decided
-	ClientLeft                       // its client's connection has ended
+	ReplyDecided RequestEvent = iota // the final reply is decided
+	ClientLeft                       // the client's connection has ended
 	numRequestEvents
 )
 
@@ -39,32 +39,34 @@
 // forbidden marks a transition that must not happen.
 const forbidden = numRequestStates
 
-// requestTransitions holds the state that follows each state and event. A reply that is decided while the client
-// leaves is dropped, and changes nothing.
+// requestTransitions holds the next state for each state and event. A reply that is decided after the client has left is
+// dropped and does not change the state.
 var requestTransitions = [numRequestStates][numRequestEvents]RequestState{
 	RequestPending:   {ReplyDecided: RequestReplied, ClientLeft: RequestAbandoned},
 	RequestReplied:   {ReplyDecided: forbidden, ClientLeft: RequestReplied},
 	RequestAbandoned: {ReplyDecided: RequestAbandoned, ClientLeft: RequestAbandoned},
 }
 
-// TransitionError is a transition of a request that must not happen.
+// TransitionError reports a forbidden state transition of a request.
 type TransitionError struct {
 	State RequestState
 	Event RequestEvent
 }
 
+// Error returns the state and the event.
 func (e *TransitionError) Error() string { return fmt.Sprintf("request %v: %v", e.State, e.Event) }
 
-// Request is the state of one request. Its zero value is pending; its methods may be called from any goroutine.
+// Request holds the state of one request. The zero value is pending. Its methods may be called from any goroutine.
 type Request struct{ state atomic.Uint32 }
 
 // State returns the current state.
 func (r *Request) State() RequestState { return RequestState(r.state.Load()) }
 
-// Finished reports whether nothing more may be begun for the request.
+// Finished reports whether the request is no longer pending, so that no attempt may begin for it.
 func (r *Request) Finished() bool { return r.State() != RequestPending }
 
-// Apply takes an event. A transition that must not happen changes nothing and is returned as a *TransitionError.
+// Apply changes the state according to an event. If the transition is forbidden, the state does not change and the error
+// is a [*TransitionError].
 func (r *Request) Apply(event RequestEvent) error {
 	for {
 		state := r.State()
@@ -78,7 +80,7 @@
 	}
 }
 
-// refusal returns why nothing more may be begun for a request in a state.
+// refusal returns the reason why no attempt may begin for a request in the state, or Permitted.
 func (s RequestState) refusal() Refusal {
 	switch s {
 	case RequestReplied:
