--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,6 +1,6 @@
-// Package invariant checks, on what the data path has done, the promises that it makes to clients and upstreams, and
-// counts those that it broke. It decides nothing and shares no code with package lifecycle, which decides: a mistake
-// there is seen here.
+// Package invariant checks the operations of the data path against the guarantees that the proxy gives to clients and
+// upstreams, and counts the violations. The package makes no decisions and shares no code with package lifecycle, which
+// makes them, so that it detects errors in that package.
 package invariant
 
 import (
@@ -9,25 +9,28 @@
 	"time"
 )
 
-// Invariant is a promise that is checked.
+// Invariant identifies a guarantee that is checked.
 type Invariant uint8
 
 // The invariants.
 const (
-	// NoAttemptAfterEnd: no attempt begins over MaxLateStart after its request had its final reply or its client left.
+	// NoAttemptAfterEnd: no attempt begins more than MaxLateStart after the final reply of its request was decided or its
+	// client left.
 	NoAttemptAfterEnd Invariant = iota
-	// NoAttemptToDraining: no attempt begins over MaxDrainDelay after its endpoint was reported as draining or gone.
+	// NoAttemptToDraining: no attempt begins more than MaxDrainDelay after its endpoint was reported as draining or
+	// departed.
 	NoAttemptToDraining
-	// RetryInDedupWindow: no retry of a deduplicated request begins after the window in which duplicates are dropped.
+	// RetryInDedupWindow: no retry of a deduplicated request begins after the window in which upstreams drop duplicates.
 	RetryInDedupWindow
-	// ToldDeadlineHolds: no attempt is told more than MaxDeadlineExcess beyond what its client has left.
+	// ToldDeadlineHolds: no attempt is sent with a deadline more than MaxDeadlineExcess after its client's deadline.
 	ToldDeadlineHolds
-	// OneFinalReply: no request gets a second final reply.
+	// OneFinalReply: no request has a second final reply.
 	OneFinalReply
-	// NoUnansweredClose: no connection is closed by the proxy under requests that have no reply, unless the process has
-	// reached the end of its drain.
+	// NoUnansweredClose: the proxy closes no connection on which requests have no reply, unless the process has reached
+	// the end of its drain.
 	NoUnansweredClose
-	// AttemptsBounded: no request has more attempts than the settings allow, nor two at once where they forbid it.
+	// AttemptsBounded: no request has more attempts than the settings permit, or parallel attempts if the settings forbid
+	// them.
 	AttemptsBounded
 	numInvariants
 )
@@ -53,35 +56,36 @@
 	return names[i]
 }
 
-// What the invariants allow.
+// Tolerances of the invariants.
 const (
 	MaxLateStart      = 100 * time.Millisecond
 	MaxDrainDelay     = 300 * time.Millisecond
 	MaxDeadlineExcess = 150 * time.Millisecond
 )
 
-// Violation is a broken invariant.
+// Violation describes one violation of an invariant.
 type Violation struct {
 	Invariant Invariant
-	RequestID string // "": it is not one request's
-	Detail    string
+	RequestID string // empty if the violation does not belong to one request
+	Detail    string // description of the violation
 }
 
-// String returns the violation in one line.
+// String describes the violation in one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%v: request %q: %s", v.Invariant, v.RequestID, v.Detail)
 }
 
-// Checker counts and reports violations. Its methods may be called from any goroutine, and on nil.
+// Checker counts and reports violations. Its methods may be called from any goroutine. On a nil Checker they do nothing.
 type Checker struct {
-	report func(Violation) // nil: violations are counted only
+	report func(Violation) // nil: violations are only counted
 	counts [numInvariants]atomic.Int64
 }
 
-// NewChecker returns a checker that reports each violation, which must not block.
+// NewChecker returns a checker that calls report for each violation. report must not block; if it is nil, violations are
+// only counted.
 func NewChecker(report func(Violation)) *Checker { return &Checker{report: report} }
 
-// Count returns how often an invariant was broken.
+// Count returns the number of violations of an invariant.
 func (c *Checker) Count(i Invariant) int64 {
 	if c == nil {
 		return 0
@@ -89,7 +93,7 @@
 	return c.counts[i].Load()
 }
 
-// Total returns how often any invariant was broken.
+// Total returns the number of violations of all invariants.
 func (c *Checker) Total() (total int64) {
 	for i := range numInvariants {
 		total += c.Count(i)
@@ -97,6 +101,7 @@
 	return total
 }
 
+// violate counts and reports a violation.
 func (c *Checker) violate(i Invariant, id []byte, format string, args ...any) {
 	c.counts[i].Add(1)
 	if c.report != nil {
@@ -104,37 +109,39 @@
 	}
 }
 
-// AttemptStart is an attempt whose last byte was written.
+// AttemptStart describes an attempt whose last byte was written.
 type AttemptStart struct {
 	RequestID        []byte
-	At               time.Time
-	RequestEnded     time.Time // when the request had its final reply or its client left; zero: neither
-	EndpointDraining time.Time // since when the endpoint is known to drain or to be gone; zero: it is not
-	DedupWindowEnd   time.Time // zero: it is the first attempt that may run
-	ToldUntil        time.Time // until when the upstream was told to work, by the time that it was told
-	ClientUntil      time.Time // until when the client waits; zero: without limit
+	At               time.Time // time at which the last byte was written
+	RequestEnded     time.Time // time at which the final reply was decided or the client left; zero: neither
+	EndpointDraining time.Time // time since which the endpoint is known to be draining or departed; zero: neither
+	DedupWindowEnd   time.Time // end of the deduplication window; zero: no earlier attempt may have run
+	ToldUntil        time.Time // deadline sent to the upstream, as the wait sent after At
+	ClientUntil      time.Time // deadline of the client; zero: none
 }
 
-// AttemptStarted checks an attempt that has begun.
+// AttemptStarted checks an attempt that was written completely.
 func (c *Checker) AttemptStarted(a *AttemptStart) {
 	if c == nil {
 		return
 	}
 	if late := a.At.Sub(a.RequestEnded); !a.RequestEnded.IsZero() && late > MaxLateStart {
-		c.violate(NoAttemptAfterEnd, a.RequestID, "begun %v after its end", late)
+		c.violate(NoAttemptAfterEnd, a.RequestID, "begun %v after the request ended", late)
 	}
 	if late := a.At.Sub(a.EndpointDraining); !a.EndpointDraining.IsZero() && late > MaxDrainDelay {
-		c.violate(NoAttemptToDraining, a.RequestID, "begun %v after the endpoint was not ready", late)
+		c.violate(NoAttemptToDraining, a.RequestID, "begun %v after the endpoint became unready", late)
 	}
 	if late := a.At.Sub(a.DedupWindowEnd); !a.DedupWindowEnd.IsZero() && late > MaxDeadlineExcess {
-		c.violate(RetryInDedupWindow, a.RequestID, "retried %v after the window", late)
+		c.violate(RetryInDedupWindow, a.RequestID, "retried %v after the deduplication window", late)
 	}
 	if excess := a.ToldUntil.Sub(a.ClientUntil); !a.ClientUntil.IsZero() && excess > MaxDeadlineExcess {
-		c.violate(ToldDeadlineHolds, a.RequestID, "told %v more than the client has left", excess)
+		c.violate(ToldDeadlineHolds, a.RequestID, "sent with a deadline %v after the client's", excess)
 	}
 }
 
-// AttemptDecided checks the attempts of a request as the balancer has one more begun.
+// AttemptDecided checks the attempts of a request when the balancer starts another one. attempts and inFlight include the
+// new attempt. If maxAttempts is 0, their number is not checked. parallel reports whether the settings permit parallel
+// attempts.
 func (c *Checker) AttemptDecided(id []byte, attempts, maxAttempts, inFlight int, parallel bool) {
 	if c == nil {
 		return
@@ -143,19 +150,20 @@
 		c.violate(AttemptsBounded, id, "attempt %d of %d", attempts, maxAttempts)
 	}
 	if inFlight > 1 && !parallel {
-		c.violate(AttemptsBounded, id, "%d attempts at once", inFlight)
+		c.violate(AttemptsBounded, id, "%d parallel attempts", inFlight)
 	}
 }
 
-// ReplyDecided checks a final reply; replies is how many the request has with it.
+// ReplyDecided checks a final reply. replies is the number of final replies of the request, including this one.
 func (c *Checker) ReplyDecided(id []byte, replies int) {
 	if c != nil && replies > 1 {
 		c.violate(OneFinalReply, id, "%d final replies", replies)
 	}
 }
 
-// ClientConnClosed checks a connection that the proxy has closed for a reason, with requests that have no reply.
-// excused is set where the client has gone, its connection has failed, or the process is at the end of its drain.
+// ClientConnClosed checks a connection that the proxy has closed. pendingIDs are the IDs of its requests without a reply.
+// excused is true if the client has closed the connection, the connection has failed, or the process has reached the end
+// of its drain.
 func (c *Checker) ClientConnClosed(pendingIDs [][]byte, excused bool, reason string) {
 	if c == nil || excused {
 		return
