--- a/internal/systemerror/accept.go
+++ b/internal/systemerror/accept.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// acceptRetryDelay is how long it takes until accepting is tried again that has failed.
+// acceptRetryDelay is the delay between a failed accept and the next one.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// AcceptPersistently accepts a connection, and fails only if the listener is closed: whatever else accept says, the next
-// call may find one.
+// AcceptPersistently calls accept until it returns a connection, and fails only if the listener is closed. It retries
+// after every other error, because the next call may succeed.
 func AcceptPersistently[Conn any](accept func() (Conn, error)) (Conn, error) {
 	for {
 		conn, err := accept()
--- a/internal/systemerror/transient.go
+++ b/internal/systemerror/transient.go
@@ -1,4 +1,4 @@
-// Package systemerror tells errors of system calls apart that may pass by themselves, and outlasts those of accept.
+// Package systemerror recognizes errors of system calls that may be transient, and retries accept after errors.
 package systemerror
 
 import (
@@ -7,14 +7,14 @@
 	"syscall"
 )
 
-// transient are the errors of a machine that lacks descriptors, memory, buffers or disk space for a while, or whose disk
-// fails for a while.
+// transient holds the errors that occur while a machine temporarily lacks descriptors, memory, buffers or disk space, or
+// while its disk fails temporarily. EAGAIN and EINTR are also among them.
 var transient = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.EAGAIN, syscall.EINTR,
 	syscall.ENOSPC, syscall.EDQUOT, syscall.EIO,
 }
 
-// IsTransient reports whether what failed may succeed a moment later, though nobody changes anything.
+// IsTransient reports whether an operation that failed with err may succeed a moment later without intervention.
 func IsTransient(err error) bool {
 	return slices.ContainsFunc(transient, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
