--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -27,7 +27,7 @@
 	Kind               string  `msgpack:"Kind"`
 	Cell               int     `msgpack:"Cell"`
 	Ready              bool    `msgpack:"Ready"` // neither draining nor departed
-	Departed           bool    `msgpack:"Gone"`  // removed from the list
+	Departed           bool    `msgpack:"Gone"`  // has left the fleet
 	Weight             float64 `msgpack:"Weight"`
 	StartedAtUnixMilli int64   `msgpack:"Since"` // time of its last start in Unix milliseconds; 0: long ago
 	FromPeer           bool    `msgpack:"-"`     // reported by another proxy, whose address for it may differ
