--- a/internal/lifecycle/orders_test.go
+++ b/internal/lifecycle/orders_test.go
@@ -9,73 +9,74 @@
 	"woodproxy/internal/lifecycle"
 )
 
-// step is an event in the life of one request with two attempts.
+// step is an event of one request with two attempts.
 type step int
 
 const (
 	firstBegins step = iota
-	firstAnswers
+	firstResponds
 	secondBegins
-	secondAnswers
+	secondResponds
 	clientLeaves
 	endpointDrains
 	windowCloses
 	numSteps
 )
 
-// stepInterval is longer than any delay that the invariants allow.
+// stepInterval is longer than any delay that the invariants tolerate.
 const stepInterval = time.Second
 
-// model plays one order of events. Where obeys is not set it begins attempts, and decides replies, without asking.
+// model executes the events of one request in one order. If enforce is false, it begins attempts and decides replies
+// without consulting package lifecycle.
 type model struct {
-	obeys    bool
-	checker  *invariant.Checker
-	now      time.Time
-	request  lifecycle.Request
-	ended    time.Time
-	draining time.Time
-	window   time.Time // when the deduplication window closes; zero: it is open
-	begun    [2]bool
-	replies  int
+	enforce       bool
+	checker       *invariant.Checker
+	now           time.Time
+	request       lifecycle.Request
+	endedAt       time.Time
+	drainingSince time.Time
+	windowEnd     time.Time // end of the deduplication window; zero: the window is open
+	begun         [2]bool
+	replies       int
 }
 
-func (m *model) take(s step) {
+func (m *model) apply(s step) {
 	m.now = m.now.Add(stepInterval)
 	switch s {
 	case firstBegins, secondBegins:
 		m.begin(int(s) / 2)
-	case firstAnswers, secondAnswers:
+	case firstResponds, secondResponds:
 		if m.begun[int(s)/2] {
 			m.reply()
 		}
 	case clientLeaves:
 		m.end(lifecycle.ClientLeft)
 	case endpointDrains:
-		m.draining = m.now
+		m.drainingSince = m.now
 	case windowCloses:
-		m.window = m.now
+		m.windowEnd = m.now
 	}
 }
 
 func (m *model) begin(attempt int) {
 	isRetry := m.begun[1-attempt]
 	conditions := lifecycle.AttemptConditions{
-		Request: m.request.State(), EndpointReady: m.draining.IsZero(), Now: m.now, Deadline: m.now.Add(stepInterval),
+		Request: m.request.State(), EndpointReady: m.drainingSince.IsZero(), Now: m.now, Deadline: m.now.Add(stepInterval),
 	}
 	if isRetry {
-		conditions.DedupWindowEnd = m.window
+		conditions.DedupWindowEnd = m.windowEnd
 	}
-	if m.obeys && !conditions.MayBegin().Permitted() {
+	if m.enforce && !conditions.MayBegin().Permitted() {
 		return
 	}
 	m.begun[attempt] = true
 	m.checker.AttemptStarted(&invariant.AttemptStart{
-		At: m.now, RequestEnded: m.ended, EndpointDraining: m.draining, DedupWindowEnd: conditions.DedupWindowEnd,
+		At: m.now, RequestEnded: m.endedAt, EndpointDraining: m.drainingSince, DedupWindowEnd: conditions.DedupWindowEnd,
 	})
 }
 
 func (m *model) reply() {
-	if m.obeys && m.request.Finished() {
+	if m.enforce && m.request.Finished() {
 		return
 	}
 	m.replies++
@@ -84,13 +85,13 @@
 }
 
 func (m *model) end(event lifecycle.RequestEvent) {
-	if m.ended.IsZero() {
-		m.ended = m.now
+	if m.endedAt.IsZero() {
+		m.endedAt = m.now
 	}
-	_ = m.request.Apply(event) // a second reply is what the checker counts
+	_ = m.request.Apply(event) // the checker counts a second reply
 }
 
-// permute calls f with each order of the steps from k on.
+// permute calls f with each permutation of steps[k:].
 func permute(steps []step, k int, f func([]step)) {
 	if k == len(steps) {
 		f(steps)
@@ -103,8 +104,8 @@
 	}
 }
 
-// playAll plays every order of every set of steps, and returns the number of orders.
-func playAll(t *testing.T, obeys bool) (orders int) {
+// runAllOrders runs every order of every set of steps and returns the number of orders.
+func runAllOrders(t *testing.T, enforce bool) (orders int) {
 	t.Helper()
 	failed := 0
 	for set := range 1 << numSteps {
@@ -117,34 +118,34 @@
 		permute(steps, 0, func(order []step) {
 			orders++
 			checker := invariant.NewChecker(nil)
-			m := &model{obeys: obeys, checker: checker, now: time.Unix(1000, 0)}
+			m := &model{enforce: enforce, checker: checker, now: time.Unix(1000, 0)}
 			for _, s := range order {
-				m.take(s)
+				m.apply(s)
 			}
 			if checker.Total() > 0 {
 				failed++
-				if obeys {
-					t.Fatalf("order %v breaks an invariant", order)
+				if enforce {
+					t.Fatalf("order %v violates an invariant", order)
 				}
 			}
 		})
 	}
-	if !obeys && failed == 0 {
-		t.Error("no order breaks an invariant where nobody asks: the checker sees nothing")
+	if !enforce && failed == 0 {
+		t.Error("no order violates an invariant without lifecycle decisions: the checker detects nothing")
 	}
 	return orders
 }
 
-// In no order of up to seven events is an invariant broken by whoever asks before each step, and in some by who does
-// not.
+// No order of up to seven events violates an invariant if package lifecycle is consulted before each step. Without it,
+// some orders do.
 func TestAllOrders(t *testing.T) {
-	if orders := playAll(t, true); orders < 13000 {
-		t.Errorf("only %d orders were played", orders)
+	if orders := runAllOrders(t, true); orders < 13000 {
+		t.Errorf("got %d orders, want at least 13000", orders)
 	}
-	playAll(t, false)
+	runAllOrders(t, false)
 }
 
-// Each of the conditions refuses by itself, with its own reason.
+// Each condition by itself causes a refusal with its own reason.
 func TestRefusals(t *testing.T) {
 	now := time.Unix(1000, 0)
 	good := lifecycle.AttemptConditions{EndpointReady: true, Now: now, Deadline: now.Add(time.Second)}
@@ -167,19 +168,19 @@
 		{with(func(c *lifecycle.AttemptConditions) { c.Deadline = now }), lifecycle.DeadlineExceeded},
 	} {
 		if got := test.conditions.MayBegin(); got != test.want {
-			t.Errorf("%+v: %v, want %v", test.conditions, got, test.want)
+			t.Errorf("%+v: got %v, want %v", test.conditions, got, test.want)
 		}
 	}
 	late := good
 	if got := late.MayComplete(now.Add(-lifecycle.MaxWriteDelay - 1)); got != lifecycle.DeadlineOutdated {
-		t.Errorf("written for too long: %v", got)
+		t.Errorf("after a write that took too long: got %v", got)
 	}
 	if got := late.MayComplete(now.Add(-lifecycle.MaxWriteDelay)); got != lifecycle.Permitted {
-		t.Errorf("written in time: %v", got)
+		t.Errorf("after a write within MaxWriteDelay: got %v", got)
 	}
 }
 
-// A request's second final reply is refused in every state that has one, and a client may leave at any time.
+// A second final reply is refused in the state that has a final reply, and the client may leave in any state.
 func TestRequestTransitions(t *testing.T) {
 	for _, test := range []struct {
 		events []lifecycle.RequestEvent
@@ -200,12 +201,13 @@
 			err = request.Apply(event)
 		}
 		if request.State() != test.want || (err != nil) != test.fails {
-			t.Errorf("%v: %v, %v", test.events, request.State(), err)
+			t.Errorf("%v: got state %v, error %v", test.events, request.State(), err)
 		}
 	}
 }
 
-// Every order of conditions on a client connection: it is closed only where nothing is lost by that.
+// For every combination of conditions, a client connection may be closed only if no pending reply, partial command or
+// unread input is lost.
 func TestClientConnConditions(t *testing.T) {
 	for bits := range 1 << 7 {
 		bit := func(i int) bool { return bits&(1<<i) != 0 }
@@ -213,8 +215,8 @@
 			Phase: lifecycle.ClosePhase(bits & 3), PendingReplies: bits >> 2 & 1, MaxPending: 1,
 			AnsweredRequest: bit(3), CommandPartial: bit(4), InputUnread: bit(5),
 		}
-		loses := c.PendingReplies > 0 || c.CommandPartial || c.InputUnread
-		if c.MayClose().Permitted() && (loses || c.Phase == lifecycle.PhaseOpen) {
+		losesData := c.PendingReplies > 0 || c.CommandPartial || c.InputUnread
+		if c.MayClose().Permitted() && (losesData || c.Phase == lifecycle.PhaseOpen) {
 			t.Errorf("%+v: may be closed", c)
 		}
 		if c.MayCloseUnread().Permitted() && (c.PendingReplies > 0 || c.Phase != lifecycle.PhaseStopReading) {
@@ -229,10 +231,10 @@
 	}
 }
 
-// The other questions have few conditions, and each of them decides.
-func TestOtherQuestions(t *testing.T) {
-	type question interface{ fmt.Stringer }
-	for _, test := range []struct{ got, want question }{
+// The remaining decisions have few conditions, and each of them affects the result.
+func TestOtherDecisions(t *testing.T) {
+	type decision interface{ fmt.Stringer }
+	for _, test := range []struct{ got, want decision }{
 		{(&lifecycle.UpstreamConnConditions{ResponseComplete: true}).MayReuse(), lifecycle.Permitted},
 		{(&lifecycle.UpstreamConnConditions{}).MayReuse(), lifecycle.ResponseIncomplete},
 		{(&lifecycle.UpstreamConnConditions{ResponseComplete: true, UnexpectedInput: true}).MayReuse(), lifecycle.UnexpectedInput},
@@ -246,7 +248,7 @@
 		{(&lifecycle.ExitConditions{OpenConnections: 1, DeadlineExceeded: true}).MayExit(), lifecycle.Permitted},
 	} {
 		if test.got != test.want {
-			t.Errorf("%v, want %v", test.got, test.want)
+			t.Errorf("got %v, want %v", test.got, test.want)
 		}
 	}
 	for r := range lifecycle.NumRefusals {
