--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -7,14 +7,14 @@
 	"woodproxy/internal/invariant"
 )
 
-// breakCase breaks an invariant once, and keeps it just so.
-type breakCase struct {
-	invariant     invariant.Invariant
-	breaks, keeps func(*invariant.Checker)
+// violationCase has a call that violates an invariant once and a call that barely satisfies it.
+type violationCase struct {
+	invariant       invariant.Invariant
+	violates, holds func(*invariant.Checker)
 }
 
-// breakCases has a case for each invariant, or more.
-func breakCases() []breakCase {
+// violationCases returns at least one case for each invariant.
+func violationCases() []violationCase {
 	at := time.Unix(1000, 0)
 	start := func(change func(*invariant.AttemptStart)) func(*invariant.Checker) {
 		return func(c *invariant.Checker) {
@@ -23,7 +23,7 @@
 			c.AttemptStarted(a)
 		}
 	}
-	return []breakCase{
+	return []violationCase{
 		{
 			invariant.NoAttemptAfterEnd,
 			start(func(a *invariant.AttemptStart) { a.RequestEnded = at.Add(-invariant.MaxLateStart - 1) }),
@@ -72,26 +72,26 @@
 	}
 }
 
-// Each invariant is counted and reported when it is broken, and not a moment before.
+// Each violation is counted and reported, and calls that barely satisfy the invariant are not.
 func TestEachInvariantFires(t *testing.T) {
-	for _, test := range breakCases() {
+	for _, test := range violationCases() {
 		t.Run(test.invariant.String(), func(t *testing.T) {
 			var reported []invariant.Violation
 			checker := invariant.NewChecker(func(v invariant.Violation) { reported = append(reported, v) })
-			test.keeps(checker)
+			test.holds(checker)
 			if checker.Total() != 0 || len(reported) != 0 {
-				t.Fatalf("kept, and reported: %v", reported)
+				t.Fatalf("reported although the invariant holds: %v", reported)
 			}
-			test.breaks(checker)
+			test.violates(checker)
 			if checker.Count(test.invariant) != 1 || checker.Total() != 1 || len(reported) != 1 ||
 				reported[0].Invariant != test.invariant || reported[0].RequestID != "id" {
-				t.Errorf("%d of %d violations, reported %v", checker.Count(test.invariant), checker.Total(), reported)
+				t.Errorf("got %d violations of the invariant and %d in total, want 1 each; reported %v", checker.Count(test.invariant), checker.Total(), reported)
 			}
 		})
 	}
 }
 
-// Without a checker nothing is checked.
+// The methods of a nil checker do nothing.
 func TestNilChecker(t *testing.T) {
 	var checker *invariant.Checker
 	checker.ReplyDecided([]byte("id"), 2)
@@ -99,6 +99,6 @@
 	checker.AttemptStarted(&invariant.AttemptStart{})
 	checker.ClientConnClosed([][]byte{[]byte("id")}, false, "")
 	if checker.Total() != 0 {
-		t.Error("counted")
+		t.Error("a nil checker counted a violation")
 	}
 }
