--- a/internal/wire/command_test.go
+++ b/internal/wire/command_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A command is incomplete up to its last byte, and is then parsed as if it had been received at once.
+// A command that arrives in parts is incomplete until its last byte. Bytes after it are not consumed.
 func TestParseCommandIncompleteUntilLastByte(t *testing.T) {
 	for _, test := range []struct{ name, text string }{
 		{"plain command", "*1\r\n$4\r\nPING\r\n"},
@@ -21,7 +21,7 @@
 			}
 			c, n, err := ParseCommand([]byte(text + "*1\r\n"))
 			if err != nil || n != len(text) {
-				t.Errorf("%q: consumed %d: %v", text, n, err)
+				t.Errorf("%q: consumed %d bytes: %v", text, n, err)
 			}
 			if c.Is("KV.GET") && (string(c.Key) != "k1" || string(c.ID) != "id1" || c.ValueLength != -1) {
 				t.Errorf("%q: %+v", text, c)
@@ -56,7 +56,7 @@
 				t.Errorf("%q: %v", test.text, err)
 			}
 			if n != 0 {
-				t.Errorf("%q: consumed %d", test.text, n)
+				t.Errorf("%q: consumed %d bytes, want 0", test.text, n)
 			}
 		})
 	}
--- a/internal/wire/endpointlist_test.go
+++ b/internal/wire/endpointlist_test.go
@@ -19,16 +19,16 @@
 		t.Errorf("%+v", read)
 	}
 	for _, test := range []struct{ name, text string }{
-		{"no object", `[]`},
+		{"not an object", `[]`},
 		{"empty object", `{}`},
 		{"index mistyped", `{"index":"1","endpoints":[]}`},
 		{"no endpoints", `{"index":1}`},
 		{"endpoint without a name", `{"index":1,"endpoints":[{}]}`},
 		{"unknown status", `{"index":1,"endpoints":[{"name":"c","status":"odd"}]}`},
 		{"null", `null`},
-		{"no JSON", `{"index":1,"endpoints":[}`},
-		{"an object behind the first", `{"index":1,"endpoints":[]}{}`},
-		{"broken off", `{"index":1,"endpoints":[`},
+		{"invalid JSON", `{"index":1,"endpoints":[}`},
+		{"an object after the first", `{"index":1,"endpoints":[]}{}`},
+		{"truncated", `{"index":1,"endpoints":[`},
 		{"active without an address", `{"index":1,"endpoints":[{"name":"c","status":"active"}]}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// listText returns a whole list as discovery sends it.
+// listText returns a complete list of endpoints in discovery's format.
 func listText(endpoints int) string {
 	rows := make([]string, endpoints)
 	for i := range rows {
--- a/internal/wire/facts_test.go
+++ b/internal/wire/facts_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// An attempt carries the client's facts, except that d is how long this proxy waits.
+// The facts are forwarded unchanged, except that d is replaced by the time for which the proxy waits.
 func TestFactsAreParsedAndForwarded(t *testing.T) {
 	const list = "c=put,t=acme,d=480,size=9,k=5c0f,r=1"
 	f, err := ParseFacts([]byte(list))
 	if err != nil || string(f.Route) != "put" || string(f.Tenant) != "acme" || f.WaitMilliseconds != 480 || !f.Retry {
-		t.Errorf("%+v: %v", f, err)
+		t.Errorf("got %+v, error %v", f, err)
 	}
 	if got := string(AppendFacts(nil, []byte(list), 77)); got != "c=put,t=acme,d=77,size=9,k=5c0f,r=1" {
 		t.Error(got)
 	}
 	if f, err := ParseFacts([]byte("d=12.75,c=x")); err != nil || f.WaitMilliseconds != 12 {
-		t.Errorf("%+v: %v", f, err)
+		t.Errorf("got %+v, error %v", f, err)
 	}
 	for _, test := range []struct{ name, list string }{
 		{"empty list", ""},
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Whatever is received, nothing panics, no more is consumed than was received, and what is parsed can be parsed again
-// when it is forwarded.
+// FuzzBytes checks for any input that no parser panics or consumes more than it was given, and that a parsed command and
+// its facts can be parsed again after they were encoded for forwarding.
 func FuzzBytes(f *testing.F) {
 	f.Add("*4\r\n$6\r\nKV.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$7\r\nc=x,d=5\r\n")
 	f.Add("*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
@@ -12,7 +12,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c, n, err := ParseCommand([]byte(text))
 		if err == nil && (n < 1 || n > len(text)) {
-			t.Errorf("%q: consumed %d", text, n)
+			t.Errorf("%q: consumed %d bytes", text, n)
 		}
 		if err == nil && c.Is("KV.GET") {
 			forwarded := AppendCommand(nil, c.Name, c.Key, c.ID, c.Facts, -1)
@@ -23,9 +23,9 @@
 		}
 		if _, err := ParseFacts(c.Facts); err == nil {
 			if _, err := ParseFacts(AppendFacts(nil, c.Facts, 7)); err != nil {
-				t.Errorf("%q: facts not parsed again: %v", c.Facts, err)
+				t.Errorf("%q: parsing the forwarded facts: %v", c.Facts, err)
 			}
 		}
-		_, _, _, _ = readAnyResponse(text) // any outcome is right, as long as it returns
+		_, _, _, _ = readAnyResponse(text) // any outcome is valid; the call must only return
 	})
 }
--- a/internal/wire/protocol_golden_test.go
+++ b/internal/wire/protocol_golden_test.go
@@ -9,39 +9,45 @@
 	"strings"
 	"testing"
 
-	"woodproxy/internal/goldentest"
-
 	"woodproxy/balancer"
+	"woodproxy/internal/goldentest"
 	"woodproxy/internal/wire"
 )
 
-// golden collects lines of "what = result", with bytes quoted.
+// golden collects lines of the form "name = result".
 type golden struct{ strings.Builder }
 
 func (g *golden) section(name string) { g.WriteString("# " + name + "\n") }
 
-func (g *golden) bytes(what string, b []byte) { g.value(what, "%q", b) }
+func (g *golden) bytes(name string, b []byte) { g.value(name, "%q", b) }
 
-func (g *golden) value(what, format string, args ...any) {
-	g.WriteString(what + " = " + fmt.Sprintf(format, args...) + "\n")
+func (g *golden) value(name, format string, args ...any) {
+	g.WriteString(name + " = " + fmt.Sprintf(format, args...) + "\n")
 }
 
-// shorten keeps long inputs out of the golden file.
+// shorten quotes a text, and truncates a long one to keep it out of the golden file.
 func shorten(text string) string {
 	if len(text) <= 400 {
 		return fmt.Sprintf("%q", text)
 	}
-	return fmt.Sprintf("%q and so on, %d bytes", text[:40], len(text))
+	return fmt.Sprintf("%q..., %d bytes", text[:40], len(text))
 }
 
-// outcomeNames are independent of the constants' values and of their names.
+// outcomeNames are the names of outcomes in the golden files, independent of the values and names of the constants.
 var outcomeNames = map[balancer.Outcome]string{
-	balancer.Completed: "completed", balancer.ServerError: "fault", balancer.Overloaded: "no room", balancer.TimedOut: "silent",
-	balancer.ConnectFailed: "unreachable", balancer.Reset: "cut", balancer.Cancelled: "undone", balancer.NotSent: "never sent",
-	balancer.CacheMiss: "lacking",
+	balancer.Completed:     "completed",
+	balancer.ServerError:   "server error",
+	balancer.Overloaded:    "overloaded",
+	balancer.TimedOut:      "timed out",
+	balancer.ConnectFailed: "connect failed",
+	balancer.Reset:         "reset",
+	balancer.Cancelled:     "cancelled",
+	balancer.NotSent:       "not sent",
+	balancer.CacheMiss:     "cache miss",
 }
 
-// errorText adds to an error's text in which stage the attempt ended, and whether it may have run.
+// errorText describes an error: its text, its class, and for an attempt the stage in which it ended and whether it may
+// have run.
 func errorText(err error) string {
 	var attemptError *wire.AttemptError
 	text := fmt.Sprintf("error %q", err.Error())
@@ -57,15 +63,15 @@
 	return text
 }
 
-// parts are one choice of the optional arguments of a command.
-type parts struct {
+// commandParts holds the arguments of a command, of which some may be unset.
+type commandParts struct {
 	name           string
 	key, id, facts string
-	value          int // length, -1: none
+	value          int // length of the value in bytes; -1: no value
 }
 
-// optionalParts are commands with every optional part set and unset.
-var optionalParts = []parts{
+// optionalParts has cases with each optional part set and unset.
+var optionalParts = []commandParts{
 	{name: "all set", key: "k1", id: "id-7", facts: "c=put,t=acme,d=480,r=1", value: 3},
 	{name: "no value", key: "k1", id: "id-7", facts: "c=read,t=acme,d=480", value: -1},
 	{name: "empty value", key: "k1", id: "id-7", facts: "c=put,d=480", value: 0},
@@ -74,10 +80,10 @@
 	{name: "no id", key: "k1", facts: "c=read,d=480", value: -1},
 	{name: "no facts", key: "k1", id: "id-7", value: -1},
 	{name: "nothing set", value: -1},
-	{name: "bytes of all kinds", key: "aZ09-_.~ /?%&+\x00\x7f\r\né", id: "ü 1", facts: "c=x y,d=1", value: -1},
+	{name: "special characters", key: "aZ09-_.~ /?%&+\x00\x7f\r\né", id: "ü 1", facts: "c=x y,d=1", value: -1},
 }
 
-// TestRequestBytesGolden pins each byte that is written to caches, to the origin and to discovery.
+// TestRequestBytesGolden checks the requests to caches, the origin and discovery, byte for byte.
 func TestRequestBytesGolden(t *testing.T) {
 	var g golden
 	g.section("cache command")
@@ -103,32 +109,32 @@
 		g.bytes(p.name, wire.AppendOriginRequest([]byte(">"), "origin:8080", []byte(p.key), []byte(p.id), []byte(p.facts), p.value))
 	}
 	g.bytes("no host", wire.AppendOriginRequest(nil, "", []byte("k"), []byte("i"), []byte("f"), -1))
-	var every []byte
+	var allBytes []byte
 	for c := range 256 {
-		every = append(every, byte(c))
+		allBytes = append(allBytes, byte(c))
 	}
-	g.bytes("key of every byte", wire.AppendOriginRequest(nil, "h", every, nil, nil, -1))
+	g.bytes("key of all byte values", wire.AppendOriginRequest(nil, "h", allBytes, nil, nil, -1))
 	g.section("discovery request")
 	for _, since := range []int64{0, 41, -1, 1 << 62} {
 		g.bytes(fmt.Sprint("since ", since), wire.AppendWatchRequest([]byte(">"), "discovery:9090", since))
 	}
 	g.bytes("no host", wire.AppendWatchRequest(nil, "", 0))
-	g.section("facts with another wait")
+	g.section("facts with the wait replaced")
 	for _, list := range []string{
 		"", "d=480", "c=read,d=480", "c=put,t=acme,d=480,size=9,k=5c0f,r=1", "c=read", "d=1,d=2",
 		"dd=1,c=x", "c=d=1,d=12.75", ",,", "odd,d=5,",
 	} {
 		g.bytes(fmt.Sprintf("%q", list), wire.AppendFacts([]byte(">"), []byte(list), 77))
 	}
-	g.bytes("nothing left to wait", wire.AppendFacts(nil, []byte("c=x,d=480"), 0))
+	g.bytes("wait of 0", wire.AppendFacts(nil, []byte("c=x,d=480"), 0))
 	g.section("limits")
-	g.value("longest value read whole", "%d", wire.MaxBufferedValue)
-	g.value("longest answer", "%d", wire.MaxResponseValue)
-	g.value("longest write", "%d", wire.MaxRequestValue)
+	g.value("maximum buffered value", "%d", wire.MaxBufferedValue)
+	g.value("maximum response value", "%d", wire.MaxResponseValue)
+	g.value("maximum request value", "%d", wire.MaxRequestValue)
 	goldentest.Text(t, "requests.golden", g.String())
 }
 
-// TestCommandParseGolden pins what is read of clients' commands, and the text for each malformed one.
+// TestCommandParseGolden checks how client commands are parsed, and the error text for each malformed one.
 func TestCommandParseGolden(t *testing.T) {
 	var g golden
 	for _, text := range []string{
@@ -156,13 +162,13 @@
 			g.value(shorten(text), "%s", errorText(err))
 			continue
 		}
-		g.value(shorten(text), "took %d: name %q, key %q, id %q, facts %q, value of %d; is KV.GET %v, is KV.SET %v", n,
+		g.value(shorten(text), "consumed %d: name %q, key %q, id %q, facts %q, value of %d; is KV.GET %v, is KV.SET %v", n,
 			c.Name, c.Key, c.ID, c.Facts, c.ValueLength, c.Is("KV.GET"), c.Is("KV.SET"))
 	}
 	goldentest.Text(t, "commands.golden", g.String())
 }
 
-// TestFactsParseGolden pins what is read of a command's facts, and the text for each malformed list.
+// TestFactsParseGolden checks how the facts of a command are parsed, and the error text for each malformed list.
 func TestFactsParseGolden(t *testing.T) {
 	var g golden
 	for _, list := range []string{
@@ -175,10 +181,10 @@
 			g.value(fmt.Sprintf("%q", list), "%s", errorText(err))
 			continue
 		}
-		g.value(fmt.Sprintf("%q", list), "route %q, tenant %q (given %v), wait %d, repeat %v", f.Route, f.Tenant, f.Tenant != nil,
+		g.value(fmt.Sprintf("%q", list), "route %q, tenant %q (given %v), wait %d, retry %v", f.Route, f.Tenant, f.Tenant != nil,
 			f.WaitMilliseconds, f.Retry)
 	}
-	g.section("printable words")
+	g.section("printable texts")
 	for _, word := range []string{"", "plain ~", "é", "\x1f", "\x7f", "a\r", "\x00", "\t"} {
 		text := "accepted"
 		if err := wire.CheckPrintable([]byte("first"), []byte(word)); err != nil {
@@ -189,7 +195,7 @@
 	goldentest.Text(t, "facts.golden", g.String())
 }
 
-// describeResponse reads one response completely and describes all that is known of it.
+// describeResponse reads one response completely and describes the result and the bytes left unread.
 func describeResponse(read func(*bufio.Reader) (wire.Response, error), text string) string {
 	r := bufio.NewReader(strings.NewReader(text))
 	a, err := read(r)
@@ -197,7 +203,7 @@
 		return errorText(err)
 	}
 	body, buffered := a.BufferedValue()
-	described := fmt.Sprintf("%s, value of %d, absent %v, again %v, read whole %v", outcomeNames[a.Outcome], a.ValueLength, a.NotFound,
+	described := fmt.Sprintf("%s, value of %d, not found %v, reusable %v, buffered %v", outcomeNames[a.Outcome], a.ValueLength, a.NotFound,
 		a.Reusable, buffered)
 	if buffered {
 		described += ", " + shorten(string(body))
@@ -213,11 +219,11 @@
 		}
 	}
 	rest, _ := io.ReadAll(r)
-	return described + fmt.Sprintf(", %q left", rest)
+	return described + fmt.Sprintf(", %q unread", rest)
 }
 
-// TestCacheAnswerGolden pins how each answer of a cache is read.
-func TestCacheAnswerGolden(t *testing.T) {
+// TestCacheResponseGolden checks how responses of caches are parsed.
+func TestCacheResponseGolden(t *testing.T) {
 	var g golden
 	for _, text := range []string{
 		"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$7\r\nqueue=3\r\n+next", "*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", "*1\r\n$1\r\nv\r\n",
@@ -232,7 +238,7 @@
 	} {
 		g.value(shorten(text), "%s", describeResponse(wire.ReadCacheResponse, text))
 	}
-	g.section("end behind a value read piece by piece")
+	g.section("end after a value read in parts")
 	for _, end := range []string{"\r\n", "\n\n", "\r", ""} {
 		r := bufio.NewReader(strings.NewReader("*1\r\n$1\r\nv" + end))
 		a, err := wire.ReadCacheResponse(r)
@@ -260,8 +266,8 @@
 	goldentest.Text(t, "cache_answers.golden", g.String())
 }
 
-// TestOriginAnswerGolden pins how each answer of the origin is read, by its status and headers.
-func TestOriginAnswerGolden(t *testing.T) {
+// TestOriginResponseGolden checks how responses of the origin are parsed, by status and headers.
+func TestOriginResponseGolden(t *testing.T) {
 	var g golden
 	record := func(text string) {
 		g.value(shorten(text), "%s", describeResponse(wire.ReadOriginResponse, text))
@@ -307,36 +313,36 @@
 	goldentest.Text(t, "origin_answers.golden", g.String())
 }
 
-// TestEndpointListWriteGolden pins the endpoint list as it is written, and what is read back of it.
+// TestEndpointListWriteGolden checks the encoding of endpoint lists and the result of parsing it again.
 func TestEndpointListWriteGolden(t *testing.T) {
 	var g golden
 	full := wire.Endpoint{
 		Name: "c1", Address: "10.0.0.1:6379", Zone: "a", Kind: "m2", Cell: 3, Ready: true, Weight: 1.5,
 		StartedAtUnixMilli: 1700000000123,
 	}
-	leaving, left, minimal, escaped := full, full, wire.Endpoint{Name: "c2", Address: "h:1", Ready: true}, full
-	leaving.Ready = false
-	left.Ready, left.Departed = false, true
+	draining, departed, minimal, escaped := full, full, wire.Endpoint{Name: "c2", Address: "h:1", Ready: true}, full
+	draining.Ready = false
+	departed.Ready, departed.Departed = false, true
 	escaped.Name, escaped.Zone, escaped.Kind = "c \"1\"\\\n", "é", "<m&2>"
-	elsewhere := full
-	elsewhere.FromPeer = true
+	fromPeer := full
+	fromPeer.FromPeer = true
 	for _, c := range []struct {
 		name string
 		list []wire.Endpoint
 	}{
 		{"empty", nil},
 		{"all set", []wire.Endpoint{full}},
-		{"leaving", []wire.Endpoint{leaving}},
-		{"left", []wire.Endpoint{left}},
-		{"left, though ready", []wire.Endpoint{{Name: "c", Ready: true, Departed: true}}},
-		{"nothing optional", []wire.Endpoint{minimal}},
+		{"leaving", []wire.Endpoint{draining}},
+		{"left", []wire.Endpoint{departed}},
+		{"left and ready", []wire.Endpoint{{Name: "c", Ready: true, Departed: true}}},
+		{"required fields only", []wire.Endpoint{minimal}},
 		{"characters that need escapes", []wire.Endpoint{escaped}},
-		{"told by another proxy", []wire.Endpoint{elsewhere}},
+		{"reported by another proxy", []wire.Endpoint{fromPeer}},
 		{"fractional, negative and large numbers", []wire.Endpoint{
 			{Name: "c", Weight: 0.1, Cell: -4, StartedAtUnixMilli: 1 << 62},
 			{Name: "d", Weight: 1e21},
 		}},
-		{"several", []wire.Endpoint{full, leaving, left, minimal}},
+		{"several", []wire.Endpoint{full, draining, departed, minimal}},
 	} {
 		text := wire.AppendEndpointList([]byte(">"), c.list)
 		g.bytes(c.name, text)
@@ -345,21 +351,22 @@
 	goldentest.Text(t, "targets_written.golden", g.String())
 }
 
-// describeEndpointList parses a list and describes its endpoints, or the error.
+// describeEndpointList parses a list and describes its endpoints or the error.
 func describeEndpointList(text string) string {
 	list, err := wire.ReadEndpointList(strings.NewReader(text))
 	if err != nil {
 		return errorText(err)
 	}
-	described := fmt.Sprintf("index %d, whole %v", list.Index, list.Whole)
-	for _, n := range list.Endpoints {
-		described += fmt.Sprintf("; name %q, address %q, zone %q, kind %q, cell %d, ready %v, gone %v, weight %v, "+
-			"since %d, elsewhere %v", n.Name, n.Address, n.Zone, n.Kind, n.Cell, n.Ready, n.Departed, n.Weight, n.StartedAtUnixMilli, n.FromPeer)
+	described := fmt.Sprintf("index %d, complete %v", list.Index, list.Whole)
+	for _, e := range list.Endpoints {
+		described += fmt.Sprintf("; name %q, address %q, zone %q, kind %q, cell %d, ready %v, departed %v, weight %v, "+
+			"since %d, from peer %v",
+			e.Name, e.Address, e.Zone, e.Kind, e.Cell, e.Ready, e.Departed, e.Weight, e.StartedAtUnixMilli, e.FromPeer)
 	}
 	return described
 }
 
-// TestEndpointListParseGolden pins what is read of discovery's lists, with each field set, unset and mistyped.
+// TestEndpointListParseGolden checks how discovery's lists are parsed, with each field set, unset and of a wrong type.
 func TestEndpointListParseGolden(t *testing.T) {
 	const complete = `{"index":41,"snapshot":true,"endpoints":[{"name":"c1","address":"h:1","zone":"a","type":"m2","group":3,` +
 		`"status":"active","weight":1.5,"since_ms":7}]}`
@@ -411,7 +418,7 @@
 	goldentest.Text(t, "targets_parsed.golden", g.String())
 }
 
-// TestDiscoveryWatchGolden pins how the answer to a request for a watch is read.
+// TestDiscoveryWatchGolden checks how the response to a watch request is parsed.
 func TestDiscoveryWatchGolden(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	chunk := func(body string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(body), body) }
@@ -429,7 +436,7 @@
 	goldentest.Text(t, "watch.golden", g.String())
 }
 
-// describeWatch reads a watch to its end and lists its objects, and the error that ends it.
+// describeWatch reads a watch to its end and lists its objects and the error that ends it.
 func describeWatch(text string) string {
 	w, err := wire.OpenWatch(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
@@ -445,7 +452,7 @@
 	}
 }
 
-// nextObject returns the next object of a watch, empty for a heartbeat.
+// nextObject returns the next object of a watch. It is empty for a heartbeat.
 func nextObject(w *wire.WatchReader) ([]byte, error) {
 	object, err := w.Next()
 	if err != nil || object == nil {
@@ -454,7 +461,7 @@
 	return io.ReadAll(object)
 }
 
-// TestAttemptErrorGolden pins the texts of errors and which of them mean that an attempt may have run.
+// TestAttemptErrorGolden checks the texts of errors and which of them report that an attempt may have run.
 func TestAttemptErrorGolden(t *testing.T) {
 	var g golden
 	for _, progress := range []wire.Progress{wire.Dialing, wire.Writing, wire.Waiting, wire.Reading} {
--- a/internal/wire/response_test.go
+++ b/internal/wire/response_test.go
@@ -11,7 +11,7 @@
 	"woodproxy/balancer"
 )
 
-// completeResponse is a response of a cache or of the origin, with what is expected of it.
+// completeResponse is a response of a cache or of the origin and the expected result of reading it.
 type completeResponse struct {
 	name, text string
 	outcome    balancer.Outcome
@@ -64,31 +64,32 @@
 			outcome, value, reusable, err := readAnyResponse(test.text)
 			if err != nil || outcome != test.outcome || outcome == balancer.Completed && string(value) != test.value ||
 				reusable != test.reusable {
-				t.Errorf("%q: outcome %d, %q, reusable %v: %v", test.text, outcome, value, reusable, err)
+				t.Errorf("%q: got outcome %d, value %q, reusable %v, error %v", test.text, outcome, value, reusable, err)
 			}
 			checkTruncated(t, test.text)
 		})
 	}
 }
 
-// checkTruncated checks that a response that is cut anywhere is an error while waiting or reading, never a shorter one.
+// checkTruncated checks that a response truncated at any byte is an error in the stage Waiting or Reading, and never a
+// shorter response.
 func checkTruncated(t *testing.T, text string) {
 	t.Helper()
 	for n := range len(text) {
 		if strings.HasPrefix(text, "HTTP/1.0") && n >= strings.Index(text, "value") {
-			break // its end is the end of the connection
+			break // the body ends with the connection
 		}
 		_, _, _, err := readAnyResponse(text[:n])
 		var attemptError *AttemptError
 		if !errors.As(err, &attemptError) || !attemptError.MayHaveRun() || (n == 0) != (attemptError.Progress == Waiting) ||
 			errors.Is(err, ErrProtocol) {
-			t.Errorf("%q: %v", text[:n], err)
+			t.Errorf("%q: got error %v", text[:n], err)
 		}
 	}
 }
 
-// readAnyResponse reads a response with its value, byte by byte: one of the origin if it begins with H, else one of a
-// cache.
+// readAnyResponse reads a response and its value byte by byte. A text that begins with H is a response of the origin, any
+// other one a response of a cache.
 func readAnyResponse(text string) (outcome balancer.Outcome, value []byte, reusable bool, err error) {
 	r := bufio.NewReader(iotest.OneByteReader(strings.NewReader(text)))
 	read := ReadCacheResponse
@@ -106,7 +107,7 @@
 	return a.Outcome, value, a.Reusable, err
 }
 
-// Servers keep longer values than clients may write; these are forwarded.
+// Values longer than MaxBufferedValue are read completely.
 func TestLongValuesAreRead(t *testing.T) {
 	long := strings.Repeat("v", 6*MaxBufferedValue)
 	for _, test := range []struct{ name, text string }{
@@ -117,7 +118,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			outcome, value, _, err := readAnyResponse(test.text)
 			if outcome != balancer.Completed || string(value) != long || err != nil {
-				t.Errorf("%.40q: outcome %d, %d bytes: %v", test.text, outcome, len(value), err)
+				t.Errorf("%.40q: got outcome %d, %d bytes, error %v", test.text, outcome, len(value), err)
 			}
 		})
 	}
@@ -133,8 +134,8 @@
 		{"cache: value too long", "*1\r\n$4194305\r\n"},
 		{"cache: value without line end", "*1\r\n$1\r\nvxx"},
 		{"cache: nested array", "*1\r\n*1\r\n"},
-		{"cache: command not understood", "-SYNTAX what\r\n"},
-		{"cache: line that does not end", "*" + strings.Repeat("1", 5000)},
+		{"cache: syntax error in the command", "-SYNTAX what\r\n"},
+		{"cache: line longer than the read buffer", "*" + strings.Repeat("1", 5000)},
 		{"origin: HTTP/2", "HTTP/2 200 OK\r\n\r\n"},
 		{"origin: letter in the status", "HTTP/1.1 2x0 OK\r\n\r\n"},
 		{"origin: header without colon", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n"},
@@ -150,7 +151,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, _, _, err := readAnyResponse(test.text); !errors.Is(err, ErrProtocol) {
-				t.Errorf("%.40q: %v", test.text, err)
+				t.Errorf("%.40q: got error %v, want a protocol error", test.text, err)
 			}
 		})
 	}
