--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -12,8 +12,8 @@
 	reductionRate       = 0.8 // capacityReduction is this divided by the responses per second
 )
 
-// admit rejects the current request at random under overload. The probability falls with the priority weight, which
-// follows from the route's value and is reduced for requests over the tenant's quota.
+// admit rejects the current request at random under overload. The probability falls with the priority weight,
+// which follows from the route's value and is reduced for requests over the tenant's quota.
 func (b *Balancer) admit() {
 	request := b.current
 	request.unadmitted = false
@@ -37,17 +37,17 @@
 	}
 }
 
-// reduceCapacity lowers the capacity after an overload signal, but not below one attempt in flight per cache, summed
-// over all proxies.
+// reduceCapacity lowers the capacity after an overload signal, but not below one attempt in flight per cache,
+// summed over all proxies.
 func (b *Balancer) reduceCapacity() {
 	used := min(b.admission.capacity, 4*float64(b.caches.inFlight)+8)
 	b.admission.capacity = max(used*(1-b.capacityReduction()), minCapacity, float64(b.ring.caches)*b.quotaShare)
 }
 
-// capacityReduction returns the fraction of the capacity that one overload signal removes. The lower the response rate,
-// the larger the fraction; otherwise a burst would be over before a proxy with little traffic reduces its capacity.
-// This applies only if peers send notifications of silent endpoints. Without them each proxy has to detect every hung
-// endpoint itself, and these failures would dominate its few responses.
+// capacityReduction returns the fraction of the capacity that one overload signal removes. The lower the
+// response rate, the larger the fraction; otherwise a burst would be over before a proxy with little traffic
+// reduces its capacity. This applies only if peers send notifications of silent endpoints. Without them each
+// proxy has to detect every hung endpoint itself, and these failures would dominate its few responses.
 func (b *Balancer) capacityReduction() float64 {
 	if b.peerCount == 0 {
 		return minReduction
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -45,8 +45,8 @@
 	*b.inFlightAt(endpoint)--
 }
 
-// inFlightAt returns the counter of this proxy's attempts in flight at caches or at the origin, depending on the kind
-// of the endpoint.
+// inFlightAt returns the counter of this proxy's attempts in flight at caches or at the origin, depending on
+// the kind of the endpoint.
 func (b *Balancer) inFlightAt(endpoint *endpointState) *int {
 	if endpoint.Origin {
 		return &b.origin.inFlight
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -50,8 +50,8 @@
 	return b.applyRules()
 }
 
-// sendAttempt sends the current request to an endpoint. The attempt times out when a response is no longer useful, and
-// a tick before the request's deadline at the latest, but not in less than a tick.
+// sendAttempt sends the current request to an endpoint. The attempt times out when a response is no longer
+// useful, and a tick before the request's deadline at the latest, but not in less than a tick.
 func (b *Balancer) sendAttempt(to int, reason Reason) {
 	request := b.current
 	b.recordSent(request, to)
@@ -60,8 +60,8 @@
 	b.awaitAttempt()
 }
 
-// reject ends the current request at once and without a response: with a rejection if a retry by the client is harmless,
-// otherwise with an error. It cancels the attempts in flight if the settings allow that.
+// reject ends the current request at once and without a response: with a rejection if a retry by the client
+// is harmless, otherwise with an error. It cancels the attempts in flight if the settings allow that.
 func (b *Balancer) reject(reason Reason) {
 	request := b.current
 	route := &b.routes[request.Route]
@@ -78,8 +78,8 @@
 	b.releaseCurrent()
 }
 
-// retryAfter returns a random Retry-After between half of maxRetryAfter and all of it, so that the retries of rejected
-// clients are spread over time. It returns 0 if no Retry-After is sent.
+// retryAfter returns a random Retry-After between half of maxRetryAfter and all of it, so that the retries of
+// rejected clients are spread over time. It returns 0 if no Retry-After is sent.
 func (b *Balancer) retryAfter() Time {
 	if b.maxRetryAfter == 0 {
 		return 0
--- a/balancer/coalescing.go
+++ b/balancer/coalescing.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// mayFollow reports whether the current request can wait for the fetch of another one: it is a read of a key that
-// another request of this proxy is fetching. A request waits only once.
+// mayFollow reports whether the current request can wait for the fetch of another one: it is a read of a key
+// that another request of this proxy is fetching. A request waits only once.
 func (b *Balancer) mayFollow() bool {
 	request := b.current
 	if !request.HasKey || request.Write || request.hasFollowed || request.queued {
@@ -13,7 +13,7 @@
 	return isFetched && leader != b.currentIndex
 }
 
-// follow makes the current request wait for the other request's fetch, for half of the remaining time at most.
+// follow makes the current request wait for the other request's fetch, at most half of the remaining time.
 func (b *Balancer) follow() {
 	request := b.current
 	request.hasFollowed, request.following = true, true
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -2,21 +2,22 @@
 
 // config holds the settings in the form in which decisions use them. Only quotaShare changes after New.
 type config struct {
-	quotaShare              float64 // fraction of all proxies' traffic that this proxy may send, 1/proxies initially
-	cacheAside              bool
-	mayCancel               bool
-	hedging                 bool // two attempts of a request may be in flight at once
-	maxAttempts             int
-	maxRetryAfter           Time // longest Retry-After; 0: none is sent
-	tick                    Time // resolution of timeouts
-	noResponseTimeout       Time // time without a response after which an endpoint may be ejected as an outlier
-	slowStart               slowStartConfig
-	self                    int // number of this proxy among the peers
-	peerCount               int // number of other proxies that can be notified
-	pollsList               bool
-	pollInterval            Time
-	approximateWeights      bool
-	overloadedOwnerFraction float64 // fraction of a request's remaining time above which its owner's latency is too high
+	quotaShare         float64 // fraction of all proxies' traffic that this one may send, 1/proxies initially
+	cacheAside         bool
+	mayCancel          bool
+	hedging            bool // two attempts of a request may be in flight at once
+	maxAttempts        int
+	maxRetryAfter      Time // longest Retry-After; 0: none is sent
+	tick               Time // resolution of timeouts
+	noResponseTimeout  Time // time without a response after which an endpoint may be ejected as an outlier
+	slowStart          slowStartConfig
+	self               int // number of this proxy among the peers
+	peerCount          int // number of other proxies that can be notified
+	pollsList          bool
+	pollInterval       Time
+	approximateWeights bool
+	// fraction of a request's remaining time above which its owner's latency is too high
+	overloadedOwnerFraction float64
 }
 
 // slowStartConfig determines the load on an endpoint in slow start.
--- a/balancer/current.go
+++ b/balancer/current.go
@@ -1,7 +1,7 @@
 package balancer
 
-// isRepliedOrStreaming reports whether the current request needs no further decision: it has its final reply, or its
-// reply is being streamed and ends with the attempt.
+// isRepliedOrStreaming reports whether the current request needs no further decision: it has its final reply,
+// or its reply is being streamed and ends with the attempt.
 func (b *Balancer) isRepliedOrStreaming() bool { return !b.current.live || b.current.streaming }
 
 func (b *Balancer) isInFlight() bool { return b.current.inFlight > 0 }
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -3,8 +3,8 @@
 // maxTimeoutVotes limits how long a client timeout that is no longer in use is remembered.
 const maxTimeoutVotes = 1000
 
-// newRouteState derives the time for which a response is useful: up to the latency objective, or up to the overall
-// timeout if late responses have a value.
+// newRouteState derives the time for which a response is useful: up to the latency objective, or up to the
+// overall timeout if late responses have a value.
 func newRouteState(r *Route, tick Time, highestValue float64, punctual bool) routeState {
 	route := routeState{Route: *r, priorityWeight: r.Value / max(highestValue, 1e-9)}
 	route.latencyBudget = r.Objective - 2*tick
@@ -15,10 +15,10 @@
 	return route
 }
 
-// elapsedAtClient returns the time since the client first sent the request, estimated from the remaining timeout. First
-// attempts of a route arrive with the same remaining timeout, within two ticks. A request with another remaining
-// timeout is taken for a retry by the client: its overall timeout and latency objective have been running since the
-// first attempt.
+// elapsedAtClient returns the time since the client first sent the request, estimated from the remaining
+// timeout. First attempts of a route arrive with the same remaining timeout, within two ticks. A request with
+// another remaining timeout is taken for a retry by the client: its overall timeout and latency objective
+// have been running since the first attempt.
 func elapsedAtClient(route *routeState, e *Request, tick Time) Time {
 	difference := e.RemainingTimeout - route.firstAttemptTimeout
 	isUsual := max(difference, -difference) <= 2*tick
@@ -42,8 +42,8 @@
 	return b.now >= min(b.current.giveUpAt, b.current.deadline-b.tick)
 }
 
-// awaitAttempt postpones the current request until the response to its attempt in flight is no longer useful or, at a
-// cache, until it may be hedged or is overdue.
+// awaitAttempt postpones the current request until the response to its attempt in flight is no longer useful
+// or, at a cache, until it may be hedged or is overdue.
 func (b *Balancer) awaitAttempt() {
 	request := b.current
 	checkAt := min(request.giveUpAt, request.deadline-b.tick)
--- a/balancer/deadlineheap.go
+++ b/balancer/deadlineheap.go
@@ -5,8 +5,8 @@
 	"container/heap"
 )
 
-// deadlineHeap orders requests by the time of their next check. A request has at most one entry, and none after its
-// final reply. It implements heap.Interface and keeps requestState.heapIndex up to date.
+// deadlineHeap orders requests by the time of their next check. A request has at most one entry, and none
+// after its final reply. It implements heap.Interface and keeps requestState.heapIndex up to date.
 type deadlineHeap struct {
 	requests *[]requestState
 	entries  []deadlineEntry
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -85,8 +85,9 @@
 	b.setCurrent(index)
 }
 
-// rule is one rule of the decision logic. The first rule of the current stage whose predicate matches is applied, and
-// this is repeated until none matches. Predicates do not change decisions; the order of the rules matters.
+// rule is one rule of the decision logic. The first rule of the current stage whose predicate matches is
+// applied, and this is repeated until none matches. Predicates do not change decisions; the order of the
+// rules matters.
 type rule struct {
 	stage   stage
 	matches func(b *Balancer) bool
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -28,8 +28,8 @@
 	endpoint.lastResponseAt = b.now - b.noResponseTimeout - 1
 }
 
-// EndpointListFailed reports that polling the endpoint list failed. It is polled again after a second or a quarter of
-// the polling interval, whichever is shorter.
+// EndpointListFailed reports that polling the endpoint list failed. It is polled again after a second or a
+// quarter of the polling interval, whichever is shorter.
 func (b *Balancer) EndpointListFailed(now Time) []Decision {
 	b.begin(now)
 	if b.pollsList {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,7 +1,7 @@
 package balancer
 
-// ReplyStarted reports that the reply to a request has begun. From then on the request succeeds or fails with the
-// attempt that delivers it.
+// ReplyStarted reports that the reply to a request has begun. From then on the request succeeds or fails with
+// the attempt that delivers it.
 func (b *Balancer) ReplyStarted(now Time, index int) []Decision {
 	b.begin(now)
 	if index < len(b.requests) && b.requests[index].live {
@@ -62,9 +62,9 @@
 	return removed
 }
 
-// SetQuotaShare sets the fraction of all proxies' traffic that this proxy may send, in (0, 1]; initially it is the same
-// for all proxies. The adapted concurrency limit at the origin is scaled with it, so that the sum over all proxies does
-// not change.
+// SetQuotaShare sets the fraction of all proxies' traffic that this proxy may send, in (0, 1]; initially it
+// is the same for all proxies. The adapted concurrency limit at the origin is scaled with it, so that the sum
+// over all proxies does not change.
 func (b *Balancer) SetQuotaShare(now Time, quotaShare float64) []Decision {
 	b.begin(now)
 	factor := quotaShare / b.quotaShare
--- a/balancer/fetches.go
+++ b/balancer/fetches.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// coalescer records which requests fetch a key from the origin and which wait for them. Entries are removed when a
-// fetch completes.
+// coalescer records which requests fetch a key from the origin and which wait for them. Entries are removed
+// when a fetch completes.
 type coalescer struct {
 	leaders   map[uint64]int   // by key: the request that fetches it
 	followers map[uint64][]int // by key: the requests that wait for the fetch
--- a/balancer/hash.go
+++ b/balancer/hash.go
@@ -5,9 +5,9 @@
 	fnvPrime  = 1099511628211
 )
 
-// ringHash computes the positions of an endpoint's ring points: FNV-1a of the name, "#" and the number of the point,
-// followed by a mixing step, since FNV alone distributes similar names unevenly. All proxies must compute the same
-// positions.
+// ringHash computes the positions of an endpoint's ring points: FNV-1a of the name, "#" and the number of the
+// point, followed by a mixing step, since FNV alone distributes similar names unevenly. All proxies must
+// compute the same positions.
 type ringHash struct{ prefix uint64 } // hash of the name and "#"
 
 func newRingHash(name string) ringHash {
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -6,7 +6,8 @@
 	overloaded bool    // state that was last logged
 }
 
-// originLimiter adapts the number of this proxy's concurrent attempts at the origin to the origin's latency and errors.
+// originLimiter adapts the number of this proxy's concurrent attempts at the origin to the origin's latency
+// and errors.
 type originLimiter struct {
 	objective     Time    // latency within which the origin should respond
 	limit         float64 // maximum number of attempts in flight; below 1, attempts are separated by pauses
--- a/balancer/logging.go
+++ b/balancer/logging.go
@@ -8,7 +8,7 @@
 	}
 }
 
-// logConstrained logs when the limit falls below the low-water mark and when it has risen to twice that mark again.
+// logConstrained logs when the limit falls below the low-water mark and when it has regained twice that mark.
 func (b *Balancer) logConstrained() {
 	o := &b.origin
 	constrained := o.limit < o.lowWater || o.constrained && o.limit < 2*o.lowWater
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -1,14 +1,14 @@
 package balancer
 
 const (
-	overloadErrorRate  = 0.1 // error rate of all caches above which an error counts as overload
-	overloadLateRate   = 0.2 // fraction of late responses of all caches above which a late one counts as overload
-	overloadAttempts   = 3   // number of a request's attempts from which on a cache's rejection counts as overload
+	overloadErrorRate  = 0.1 // error rate of all caches above which an error shows overload
+	overloadLateRate   = 0.2 // fraction of late responses of all caches above which a late one shows overload
+	overloadAttempts   = 3   // number of a request's attempts from which on a cache's rejection shows overload
 	ejectionErrorRate  = 0.4 // error rate above which a cache may be ejected
 	ejectionErrorRatio = 2   // minimum ratio of an ejected cache's error rate to that of all caches
 )
 
-// recordOutcome updates the statistics of the endpoint and of the caches or the origin, and adapts their limits.
+// recordOutcome updates the statistics of the endpoint and the caches or the origin, and adapts their limits.
 func (b *Balancer) recordOutcome(request *requestState, endpoint *endpointState, a AttemptResult) {
 	unanswered := a.Outcome == TimedOut || a.Outcome == Cancelled
 	attempt := finishedAttempt{AttemptResult: a, request: request, endpoint: endpoint}
@@ -58,20 +58,20 @@
 	}
 }
 
-// isOriginOverload reports whether an outcome shows that the origin is overloaded. A single slow response among fast
-// ones is due to the work of that request, especially of a write. A single missing response while others arrive is due
-// to a fault of its connection.
+// isOriginOverload reports whether an outcome shows that the origin is overloaded. A single slow response
+// among fast ones is due to the work of that request, especially of a write. A single missing response while
+// others arrive is due to a fault of its connection.
 func (b *Balancer) isOriginOverload(attempt *finishedAttempt) bool {
 	return attempt.Outcome == Overloaded || attempt.Latency > 2*b.origin.objective &&
 		(b.origin.latency.value > float64(b.origin.objective) ||
 			attempt.Outcome != Completed && attempt.endpoint.silentSince <= attempt.request.sentAt)
 }
 
-// isCacheOverload reports whether a late or failed outcome shows an overload of all caches. Late responses of a few
-// endpoints among fast ones do not show that, since requests skip these endpoints. A fraction of late responses above
-// overloadLateRate does. It is checked separately because it may be high while the mean latency is low: late attempts,
-// many of which end without a response, do not enter that mean. Without notifications from peers the late rate is not
-// used, since resets and hung endpoints, which each proxy then has to detect itself, may raise it above the bound.
+// isCacheOverload reports whether a late or failed outcome shows an overload of all caches. Late responses of
+// a few endpoints among fast ones do not, since requests skip these endpoints. A late rate above
+// overloadLateRate does. It is checked separately, as it may be high at a low mean latency: late attempts,
+// many of them without a response, do not enter that mean. It is not used without notifications from peers,
+// since resets and hung endpoints, which each proxy then must detect itself, may raise it above the bound.
 func (b *Balancer) isCacheOverload(attempt *finishedAttempt) bool {
 	return attempt.Outcome == Overloaded || attempt.Outcome == ServerError ||
 		attempt.endpoint.latency.value < 2*b.caches.meanLatency ||
@@ -99,8 +99,8 @@
 	}
 }
 
-// recordErrors updates the error rates by a cache's response. A cache that fails many of its requests while the others do
-// not is ejected. An ejected cache that responds without an error is returned to service.
+// recordErrors updates the error rates by a cache's response. A cache that fails many of its requests while
+// the others do not is ejected. An ejected cache that responds without an error is returned to service.
 func (b *Balancer) recordErrors(attempt *finishedAttempt) {
 	if !attempt.responded || attempt.endpoint.Origin {
 		return
@@ -119,7 +119,7 @@
 	}
 }
 
-// ejectOnFailure ejects a cache to which no connection can be opened, and extends the ejection of one whose probe failed.
+// ejectOnFailure ejects a cache that cannot be connected to, and extends the ejection after a failed probe.
 func (b *Balancer) ejectOnFailure(attempt *finishedAttempt) {
 	endpoint := attempt.endpoint
 	probeFailed := attempt.failedProbe && b.now >= endpoint.probeAt &&
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// requestQueue holds the requests that wait for capacity at the origin, by priority and in order of arrival within a
-// priority.
+// requestQueue holds the requests that wait for capacity at the origin, by priority and in order of arrival
+// within a priority.
 type requestQueue struct {
 	byPriority [queuePriorities][]int
 	length     int
--- a/balancer/reason.go
+++ b/balancer/reason.go
@@ -19,8 +19,8 @@
 	ReasonDeadline
 	// ReasonAttemptsExhausted rejects a request that has used its maximum number of attempts.
 	ReasonAttemptsExhausted
-	// ReasonRetryForbidden rejects a request that may have been executed and must not be retried, or for which the retry
-	// budget is exhausted.
+	// ReasonRetryForbidden rejects a request that may have been executed and must not be retried, or for which
+	// the retry budget is exhausted.
 	ReasonRetryForbidden
 	// ReasonOverload rejects a request because the caches are overloaded.
 	ReasonOverload
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -1,6 +1,7 @@
 package balancer
 
-// requestState is the state of one client request until it has its final reply and none of its attempts is in flight.
+// requestState is the state of one client request until it has its final reply and none of its attempts is in
+// flight.
 type requestState struct {
 	Request
 	live        bool // the client still waits for a reply
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,7 +1,7 @@
 package balancer
 
-// retryBudget limits retries and hedged attempts to a fraction of the admitted requests, since more retries would prolong
-// the overload that causes failures.
+// retryBudget limits retries and hedged attempts to a fraction of the admitted requests, since more retries
+// would prolong the overload that causes failures.
 type retryBudget float64
 
 const (
@@ -12,9 +12,9 @@
 
 func (b *Balancer) attemptsExhausted() bool { return b.current.attempts >= b.maxAttempts }
 
-// retryForbidden reports whether the current request may have been executed and must not be retried, or whether the
-// retry budget is exhausted. The budget does not apply after connection resets: when servers close many idle
-// connections, each reset costs no more than the next attempt.
+// retryForbidden reports whether the current request may have been executed and must not be retried, or
+// whether the retry budget is exhausted. The budget does not apply after connection resets: when servers
+// close many idle connections, each reset costs no more than the next attempt.
 func (b *Balancer) retryForbidden() bool {
 	request := b.current
 	if !request.mayHaveRun {
@@ -28,7 +28,7 @@
 	return route.Effect != Retriable && !isDropped
 }
 
-// chargeRetry charges the budget for the attempt that is being sent if it is a retry to which the budget applies.
+// chargeRetry charges the budget for the attempt being sent if it is a retry to which the budget applies.
 func (b *Balancer) chargeRetry(request *requestState) {
 	if request.mayHaveRun && !request.wasReset && !request.evacuated {
 		b.retryBudget--
@@ -38,8 +38,8 @@
 
 func (r *retryBudget) refill() { *r = min(*r+retriesPerAdmission, maxRetryBudget) }
 
-// inDedupGroup reports whether an endpoint may receive the current request: if the request is deduped and may have been
-// executed, only an endpoint of the same group drops the duplicate.
+// inDedupGroup reports whether an endpoint may receive the current request: if the request is deduped and may
+// have been executed, only an endpoint of the same group drops the duplicate.
 func (b *Balancer) inDedupGroup(index int) bool {
 	request := b.current
 	route := &b.routes[request.Route]
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -7,14 +7,16 @@
 
 const (
 	ringPointsPerEndpoint = 160 // for an endpoint of the reference weight; set by the design
-	boundedLoadFactor     = 2.0 // multiple of the mean number of this proxy's attempts in flight; set by the design
+	// multiple of the mean number of this proxy's attempts in flight; set by the design
+	boundedLoadFactor = 2.0
 
 	// special values of Balancer.candidate, which otherwise is the index of an endpoint
 	notSearched = -1
 	noEndpoint  = -2
 )
 
-// findCandidate walks the ring clockwise from the key's position to the first cache that can serve the current request.
+// findCandidate walks the ring clockwise from the key's position to the first cache that can serve the
+// current request.
 func (b *Balancer) findCandidate() {
 	b.candidate = noEndpoint
 	if b.ring.size == 0 {
@@ -86,15 +88,16 @@
 	return endpoint.inFlight >= 2 && float64(endpoint.inFlight) > bound
 }
 
-// overloadedOwnerFractionFor returns the fraction of a request's remaining time above which the latency of the key's
-// owner is too high. A key that is sent to the next cache instead is a miss there, so the fraction grows with the cost
-// of a fetch.
+// overloadedOwnerFractionFor returns the fraction of a request's remaining time above which the latency of
+// the key's owner is too high. A key that is sent to the next cache instead is a miss there, so the fraction
+// grows with the cost of a fetch.
 func overloadedOwnerFractionFor(fetchCost float64) float64 { return min(0.3+fetchCost, 0.5) }
 
-// isOverloadedOwner reports whether the recent latency of an endpoint takes too much of the current request's remaining
-// time. The next endpoint clockwise then serves the request if its latency is less than half of that.
+// isOverloadedOwner reports whether the recent latency of an endpoint takes too much of the current request's
+// remaining time. The next endpoint clockwise then serves the request if its latency is below half of that.
 func (b *Balancer) isOverloadedOwner(endpoint *endpointState) bool {
-	// the fraction is lower for an endpoint that this proxy rarely sends to, but not so low that keys leave it by chance
+	// the fraction is lower for an endpoint that this proxy rarely sends to, but not so low that keys leave it
+	// by chance
 	rarity := observationWeight(0, b.responseInterval(), 10*second)
 	fraction := max(b.overloadedOwnerFraction-0.15*rarity, 0.3)
 	remaining := float64(min(b.current.giveUpAt, b.current.objectiveAt) - b.now)
@@ -102,10 +105,10 @@
 		b.now-endpoint.latency.updatedAt < max(3*b.noResponseTimeout, 2*b.responseInterval())
 }
 
-// isLikelyOverloaded returns true at random for an endpoint that rejected more than a third of this proxy's latest
-// attempts as overloaded, and always for one that rejected nearly all. A hot key thus spreads clockwise over as many
-// endpoints as it needs, without a failed attempt at each of them. The fraction decays with time, so that the endpoint
-// is tried again.
+// isLikelyOverloaded returns true at random for an endpoint that rejected more than a third of this proxy's
+// latest attempts as overloaded, and always for one that rejected nearly all. A hot key thus spreads
+// clockwise over as many endpoints as it needs, without a failed attempt at each of them. The fraction decays
+// with time, so that the endpoint is tried again.
 func (b *Balancer) isLikelyOverloaded(endpoint *endpointState) bool {
 	if endpoint.overloads.value < 0.35 {
 		return false
--- a/balancer/ringmembers.go
+++ b/balancer/ringmembers.go
@@ -16,8 +16,8 @@
 	return ringPointsPerEndpoint
 }
 
-// setReferenceWeight sets the reference weight, once, to the power of two nearest to the mean weight. Rounding gives the
-// same value at every proxy even if their endpoint lists differ.
+// setReferenceWeight sets the reference weight, once, to the power of two nearest to the mean weight.
+// Rounding gives the same value at every proxy even if their endpoint lists differ.
 func (b *Balancer) setReferenceWeight() {
 	sum, caches := 0.0, 0.0
 	for i := range b.endpoints {
@@ -30,8 +30,8 @@
 	}
 }
 
-// updateRing updates the ring after changes to some endpoints. The points of a cache depend only on its name and weight,
-// so a cache that joins or leaves moves only its own keys.
+// updateRing updates the ring after changes to some endpoints. The points of a cache depend only on its name
+// and weight, so a cache that joins or leaves moves only its own keys.
 func (b *Balancer) updateRing(changed []int) {
 	servingBefore := b.ring.servingCaches
 	if b.ring.referenceWeight == 0 {
@@ -51,7 +51,7 @@
 	b.scaleCapacity(servingBefore)
 }
 
-// countCache updates the ring's counts for an endpoint with the given number of points and its excluded fraction.
+// countCache updates the ring's counts for an endpoint with the given number of points and excluded fraction.
 func (b *Balancer) countCache(endpoint *endpointState, points int) {
 	r := &b.ring
 	if endpoint.points > 0 {
--- a/balancer/ringpoints.go
+++ b/balancer/ringpoints.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// pointsPerBucket is the maximum mean number of points per bucket after a rebuild; spareBucketPoints is the capacity
-	// that is added to a bucket when it grows.
+	// pointsPerBucket is the maximum mean number of points per bucket after a rebuild; spareBucketPoints is the
+	// capacity that is added to a bucket when it grows.
 	pointsPerBucket   = 16
 	spareBucketPoints = 8
 	// The ring is rebuilt if the mean number of points per bucket leaves these bounds, or if more than one in
@@ -18,16 +18,18 @@
 	rebuildDivisor     = 4
 )
 
-// ring is the consistent-hash ring of the ready caches. Its points are stored in buckets by the most significant bits of
-// their positions, so a cache that joins or leaves moves only points in the buckets of its own points.
+// ring is the consistent-hash ring of the ready caches. Its points are stored in buckets by the most
+// significant bits of their positions, so a cache that joins or leaves moves only points in the buckets of
+// its own points.
 type ring struct {
-	buckets         [][]ringPoint // sorted, as are the points of each; the number is a power of two, 0 for an empty ring
-	shift           int           // right shift that gives the bucket of a position
-	size            int           // number of points
-	caches          int           // number of endpoints on the ring
-	servingCaches   float64       // caches minus their excluded fractions
-	excluded        int           // number of caches with an excluded fraction
-	referenceWeight float64       // weight of an endpoint with ringPointsPerEndpoint points; 0: not set yet
+	// sorted, as are the points of each; the number is a power of two, 0 for an empty ring
+	buckets         [][]ringPoint
+	shift           int     // right shift that gives the bucket of a position
+	size            int     // number of points
+	caches          int     // number of endpoints on the ring
+	servingCaches   float64 // caches minus their excluded fractions
+	excluded        int     // number of caches with an excluded fraction
+	referenceWeight float64 // weight of an endpoint with ringPointsPerEndpoint points; 0: not set yet
 }
 
 // ringPoint is one point of an endpoint on the ring.
@@ -36,7 +38,8 @@
 	endpoint int32
 }
 
-// ringChange is a change of the number of an endpoint's points. An endpoint with n points has those numbered 0 to n-1.
+// ringChange is a change of the number of an endpoint's points. An endpoint with n points has those numbered
+// 0 to n-1.
 type ringChange struct {
 	endpoint      int32
 	name          string
@@ -55,7 +58,8 @@
 		moved += max(change.before, change.after) - min(change.before, change.after)
 		size += change.after - change.before
 	}
-	if moved*rebuildDivisor > size || size > maxPointsPerBucket*len(r.buckets) || size < minPointsPerBucket*len(r.buckets) {
+	if moved*rebuildDivisor > size || size > maxPointsPerBucket*len(r.buckets) ||
+		size < minPointsPerBucket*len(r.buckets) {
 		r.rebuild(changes, size)
 		return
 	}
@@ -90,8 +94,8 @@
 	}
 }
 
-// search returns the index of the first point in a bucket that is not before the given point. Positions are distributed
-// evenly, so the search starts at the index that equal distances would give.
+// search returns the index of the first point in a bucket that is not before the given point. Positions are
+// distributed evenly, so the search starts at the index that equal distances would give.
 func (r *ring) search(bucket []ringPoint, point ringPoint) int {
 	offset := point.position << (64 - r.shift) // position within the bucket, scaled to 64 bits
 	guess, _ := bits.Mul64(offset, uint64(len(bucket)))
@@ -157,8 +161,8 @@
 	return points
 }
 
-// newPositions returns the positions of all points that the changed endpoints have after the changes, one endpoint after
-// another.
+// newPositions returns the positions of all points that the changed endpoints have after the changes, one
+// endpoint after another.
 func newPositions(changes []ringChange) []uint64 {
 	count := 0
 	for i := range changes {
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -30,7 +30,8 @@
 	// All other requests are sent to the caches on the ring.
 	{deciding, (*Balancer).isNotSearched, (*Balancer).findCandidate},
 	{deciding, (*Balancer).hasCandidate, (*Balancer).sendToCandidate},
-	// The origin serves a request for which no cache is available: none is on the ring, or all are in slow start.
+	// The origin serves a request for which no cache is available: none is on the ring, or all are in slow
+	// start.
 	{deciding, (*Balancer).mayBypassCaches, (*Balancer).bypassCaches},
 	{deciding, func(*Balancer) bool { return true }, rejectFor(ReasonNoEndpoint)},
 }
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -11,19 +11,19 @@
 	latencySamples = 32
 	// deviationSamples is the minimum divisor for the deviation, so that the first samples do not make it jump.
 	deviationSamples = 4
-	// endpointErrorSamples and errorSamples are the numbers of responses over which the error rates of one cache and of all
-	// caches are smoothed.
+	// endpointErrorSamples and errorSamples are the numbers of responses over which the error rates of one cache
+	// and of all caches are smoothed.
 	endpointErrorSamples = 8
 	errorSamples         = 64
 )
 
-// movingAverage is a moving average in which the weight of a sample grows with the time since the previous one.
+// movingAverage is a moving average in which a sample's weight grows with the time since the previous one.
 type movingAverage struct {
 	value     float64
 	updatedAt Time
 }
 
-// observe adds a sample. Its weight is the time since the previous sample divided by span, within [minWeight, 1].
+// observe adds a sample. Its weight is the time since the previous one over span, within [minWeight, 1].
 func (m *movingAverage) observe(now Time, value, minWeight float64, span Time) {
 	m.value += (value - m.value) * observationWeight(minWeight, now-m.updatedAt, span)
 	m.updatedAt = now
@@ -51,8 +51,8 @@
 	startedAt Time
 }
 
-// add counts more responses and returns the rate per second, corrected for the short time since startedAt. Each call
-// rounds, so calling it more or less often changes the last digits of the result.
+// add counts more responses and returns the rate per second, corrected for the short time since startedAt.
+// Each call rounds, so calling it more or less often changes the last digits of the result.
 func (r *responseRate) add(now Time, more float64) float64 {
 	r.count = r.count*decay(now-r.updatedAt) + more
 	r.updatedAt = now
@@ -78,8 +78,8 @@
 	}
 }
 
-// observeLatency adds the latency of a response in time to mean and deviation. The first samples have more weight,
-// because with little traffic it takes seconds to collect latencySamples.
+// observeLatency adds the latency of a response in time to mean and deviation. The first samples have more
+// weight, because with little traffic it takes seconds to collect latencySamples.
 func (s *cacheStatistics) observeLatency(latency Time) {
 	s.samples = min(s.samples+1, latencySamples)
 	s.meanLatency += (float64(latency) - s.meanLatency) / s.samples
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -38,7 +38,7 @@
 	DedupWindow Time  // Deduped: time after the first attempt within which duplicates are dropped
 }
 
-// Settings holds the settings of a balancer. New derives its own values from them and keeps no reference to them.
+// Settings holds the settings of a balancer. New derives its own values from them and does not keep them.
 type Settings struct {
 	Proxies                   int // number of proxies that share the endpoints, including this one
 	Self                      int // number of this proxy among the peers
@@ -46,9 +46,9 @@
 	Routes                    []Route
 	TenantQuotas              []float64 // quota by tenant: requests per second, summed over all proxies
 	OverQuotaWeight           float64   // factor on the priority weight of requests over quota
-	LateIsFailure             bool      // responses after the objective count as failures, rejections within it do not
-	CacheAside                bool      // cache-aside: caches report misses, and the proxy fetches from the origin
-	ParallelAttempts          bool      // a request may have two attempts in flight, which permits hedging of reads
+	LateIsFailure             bool      // responses past the objective are failures, rejections in time are not
+	CacheAside                bool      // cache-aside: caches report misses, the proxy fetches from the origin
+	ParallelAttempts          bool      // a request may have two attempts in flight, which permits read hedging
 	MayCancel                 bool      // attempts in flight may be canceled
 	MaxAttempts               int       // maximum number of attempts per request
 	RetryAfter                bool      // rejections carry a Retry-After
@@ -61,13 +61,13 @@
 	SlowStartInitialFraction  float64   // fraction of the full load at the beginning of slow start
 	SlowStartOverloadWindow   Time      // window over which the load in slow start is measured
 	SlowStartOverloadMultiple float64   // multiple of its capacity at which an endpoint in slow start fails
-	ApproximateWeights        bool      // endpoint weights are approximate; the numbers of ring points follow them
+	ApproximateWeights        bool      // endpoint weights are approximate; numbers of ring points follow them
 	FetchCost                 float64   // cost of a fetch from the origin, in units of the value of a request
 }
 
 // Endpoint is one endpoint of the endpoint list.
 type Endpoint struct {
-	Index     int    // index; reused only after its last endpoint has been gone for longer than any request lives
+	Index     int    // reused only after its last endpoint has been gone for longer than any request lives
 	Name      string // determines the ring points, otherwise not interpreted
 	Origin    bool
 	Ready     bool // neither draining nor gone
