--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -7,26 +7,26 @@
 	"woodproxy/negativecache"
 )
 
-// attempt is one attempt to have a request answered by an upstream host. The router makes it and hands it to the host,
-// and that to a connection.
+// attempt is one attempt to get a response to a request from an upstream host. The router creates it and passes it to
+// the host, which assigns it to a connection.
 type attempt struct {
 	request     *request
 	slot        int // index of the request's slot
 	host        int // index of the host
 	sentAt      balancer.Time
-	timeout     balancer.Time // from sentAt
-	startBefore balancer.Time // not to be begun later; 0: there is no such time
+	timeout     balancer.Time // counted from sentAt
+	startBefore balancer.Time // latest time at which the attempt may be written; 0: no limit
 	cancelled   atomic.Bool
-	cacheTicket negativecache.FetchToken // of a fetch from the origin
-	notFound    bool                     // the origin has answered that it has no such key
-	streaming   bool                     // its value is being streamed: for the router it has completed
-	conn        *upstreamConn            // that carries it, or nil; only the host's goroutine looks
+	cacheTicket negativecache.FetchToken // token of a fetch from the origin
+	notFound    bool                     // the origin has responded that the key is absent
+	streaming   bool                     // the value is being streamed; the router already counts the attempt as completed
+	conn        *upstreamConn            // connection that carries the attempt, or nil; accessed only by the host's goroutine
 }
 
-// attemptResult is how an attempt ended. A completed one has a value, or a stream in place of it, unless the origin has
-// no such key.
+// attemptResult is the result of an attempt. A completed attempt has either a value or a stream, unless the key is
+// absent at the origin.
 type attemptResult struct {
 	outcome balancer.Outcome
-	value   []byte // counted in the value memory
+	value   []byte // its bytes are counted in the value memory
 	stream  *stream
 }
--- a/internal/proxy/decisions.go
+++ b/internal/proxy/decisions.go
@@ -40,12 +40,12 @@
 	}
 }
 
-// isFinalReply reports whether a decision ends its request.
+// isFinalReply reports whether a decision ends its request with a final reply.
 func isFinalReply(d balancer.Decision) bool {
 	return d.Action == balancer.Shed || d.Action == balancer.Error
 }
 
-// newAttempt returns the attempt that the balancer has decided on.
+// newAttempt returns a new attempt for a Send decision of the balancer.
 func (r *Router) newAttempt(d *balancer.Decision) *attempt {
 	s := &r.slots[d.Request]
 	now := r.clock.Now()
@@ -55,13 +55,13 @@
 	if s.firstSentAt > 0 {
 		route := &r.settings.Balancer.Routes[r.settings.Routes[s.request.route]]
 		if route.Effect == balancer.Deduped {
-			next.startBefore = s.firstSentAt + route.DedupWindow // later, the retry would be carried out as well
+			next.startBefore = s.firstSentAt + route.DedupWindow // a later retry would be executed a second time
 		}
 	}
 	return next
 }
 
-// sendAttempt counts an attempt and hands it to its host. It returns false if the host's mailbox is full.
+// sendAttempt records an attempt and posts it to its host. It returns false if the host's mailbox is full.
 func (r *Router) sendAttempt(attempt *attempt) bool {
 	s, h := &r.slots[attempt.slot], r.hosts[attempt.host]
 	s.attempts = append(s.attempts, attempt)
@@ -80,7 +80,7 @@
 	return h.tryPost(func() { h.send(attempt) })
 }
 
-// cancelAttempt has an attempt's host cancel it. If the host's mailbox is full, the attempt ends by its timeout.
+// cancelAttempt makes the attempt's host cancel it. If the host's mailbox is full, the attempt ends by its timeout.
 func (r *Router) cancelAttempt(d *balancer.Decision) {
 	attempt := r.slots[d.Request].attempts[d.Attempt]
 	r.counters.Cancelled.Add(1)
