--- a/internal/proxy/duties.go
+++ b/internal/proxy/duties.go
@@ -15,12 +15,14 @@
 	dutiesMailboxSize = 1024
 )
 
-// dutyBroadcast tells other proxies what this one does under a duty, which counts for a lifetime. It must not wait.
+// dutyBroadcast sends a report under a duty to the other proxies. The report expires after lifetime. The function must
+// not block.
 type dutyBroadcast = func(kind duties.ReportKind, key string, report duties.Report, lifetime duties.Time)
 
-// Duties is the goroutine of the duties that proxies share out among them: health checks, watches, idle connections.
-// The router offers it what it finds and waits for nothing; Duties posts to the router, to the endpoint list and to
-// hosts what follows. Exported methods may be called from any goroutine.
+// Duties is the goroutine that manages the duties that the proxies divide among themselves: health checks, discovery
+// watches and idle connections. The router posts its observations without blocking, and Duties posts the resulting
+// calls to the router, to the endpoint list and, through the router, to hosts. Exported methods may be called from any
+// goroutine.
 type Duties struct {
 	mailbox     mailbox
 	assignments *duties.Assigner
@@ -31,10 +33,10 @@
 	figures     atomic.Pointer[duties.Statistics]
 	counters    *Counters
 	log         *zap.Logger
-	nodesStale  bool // the latest list of caches found the mailbox full; only the router's goroutine looks
+	nodesStale  bool // the latest list of caches was dropped because the mailbox was full; accessed only by the router's goroutine
 }
 
-// NewDuties returns the duties of a router and an endpoint list. It is to be called before they run.
+// NewDuties returns the duties of a router and an endpoint list. It must be called before the Run methods of both.
 func NewDuties(terms duties.Settings, router *Router, list *EndpointList, broadcast dutyBroadcast, log *zap.Logger) *Duties {
 	d := &Duties{
 		mailbox: make(mailbox, dutiesMailboxSize), assignments: duties.New(duties.Time(router.clock.Now()), terms),
@@ -45,7 +47,7 @@
 	return d
 }
 
-// Run carries out calls for as long as the process lives.
+// Run executes posted calls until the process ends.
 func (d *Duties) Run() { d.mailbox.run(d.log, d.counters, dutyTick, d.tick) }
 
 func (d *Duties) tick() {
@@ -57,20 +59,20 @@
 
 func (d *Duties) now() duties.Time { return duties.Time(d.clock.Now()) }
 
-// Stats returns the duties' figures as of their last tick.
+// Stats returns the statistics of the duties as of the last tick.
 func (d *Duties) Stats() duties.Statistics { return *d.figures.Load() }
 
-// SetMembers takes who the proxies are. catchingUp means that not all are known yet.
+// SetMembers sets the list of proxies. catchingUp means that the list may still be incomplete.
 func (d *Duties) SetMembers(all []duties.Proxy, catchingUp bool) {
 	d.mailbox.tryPost(func() { d.execute(d.assignments.SetMembers(d.now(), all, catchingUp)) })
 }
 
-// Receive takes what another proxy has told under a duty, sent age ago.
+// Receive handles another proxy's report under a duty. age is the time since the report was sent.
 func (d *Duties) Receive(from string, kind duties.ReportKind, key string, report duties.Report, age duties.Time) {
 	d.mailbox.tryPost(func() { d.execute(d.assignments.HandleReport(d.now(), from, kind, key, report, age)) })
 }
 
-// execute carries out decisions on duties.
+// execute carries out the decisions of the duty assigner.
 func (d *Duties) execute(decisions []duties.Decision) {
 	for _, decision := range decisions {
 		switch decision.Action {
@@ -90,9 +92,9 @@
 	}
 }
 
-// The router's goroutine runs all that follows.
+// The functions below run on the router's goroutine.
 
-// updateDutyNodes tells the duties which caches are listed.
+// updateDutyNodes passes the names of the listed caches to the duties.
 func (r *Router) updateDutyNodes() {
 	d := r.duties
 	if d == nil {
@@ -104,11 +106,11 @@
 			names = append(names, h.name)
 		}
 	}
-	// If the mailbox is full, reportEjections tries again.
+	// If the mailbox is full, reportEjections calls this function again.
 	d.nodesStale = !d.mailbox.tryPost(func() { d.execute(d.assignments.SetNodes(d.now(), names)) })
 }
 
-// reportEjections tells the duties which hosts have been ejected or brought back since it was called last.
+// reportEjections reports to the duties which hosts have been ejected or returned to service since its last call.
 func (r *Router) reportEjections() {
 	d := r.duties
 	if d.nodesStale {
@@ -125,7 +127,7 @@
 	}
 }
 
-// dutyAttemptSent takes note of an attempt at a host, which is a health check if that is ejected.
+// dutyAttemptSent reports an attempt to the duties if its host is ejected: the attempt is then a health check probe.
 func (r *Router) dutyAttemptSent(index int) {
 	d, h := r.duties, r.hosts[index]
 	if d == nil || h.isOrigin || !r.balancer.IsEjected(index) {
@@ -138,8 +140,8 @@
 	})
 }
 
-// dutyAttemptFinished takes note of the end of an attempt at a host that was ejected until then: the health check has
-// failed, or the host has been brought back.
+// dutyAttemptFinished reports the end of an attempt to a host that was ejected before: either the health check probe
+// has failed, or the host has returned to service.
 func (r *Router) dutyAttemptFinished(index int, wasEjected bool) {
 	d, h := r.duties, r.hosts[index]
 	if d == nil || !wasEjected {
@@ -158,7 +160,7 @@
 	}
 }
 
-// delayProbe has a host's next health check wait until a time.
+// delayProbe postpones a host's next health check probe until the given time.
 func (r *Router) delayProbe(node string, until balancer.Time) {
 	if index, ok := r.hostIndex[node]; ok {
 		now := r.clock.Now()
@@ -166,7 +168,8 @@
 	}
 }
 
-// setIdleConnOwner has idle connections to a host be kept for as long as they may, or be closed soon.
+// setIdleConnOwner sets whether this proxy has the duty to keep idle connections to a host. An owner keeps them up to
+// their idle timeout; any other proxy closes the current ones, and later ones after nonOwnerIdleTimeout.
 func (r *Router) setIdleConnOwner(node string, isOwner bool) {
 	index, ok := r.hostIndex[node]
 	if !ok {
