--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -17,36 +17,36 @@
 
 const (
 	endpointMailboxSize = 64
-	maxBackoffDoublings = 8 // by which the backoff is beyond its bound
-	// endpointRandomStream separates the list's random numbers from others of the same seed.
+	maxBackoffDoublings = 8 // enough for the backoff to exceed maxWatchBackoff
+	// endpointRandomStream separates the list's random numbers from others with the same seed.
 	endpointRandomStream = 1
 )
 
-// EndpointList is the goroutine of the endpoint list: it has discovery watched and tells the router what changes.
+// EndpointList is the goroutine of the endpoint list: it watches or polls discovery and passes changes to the router.
 type EndpointList struct {
 	mailbox       mailbox
-	addr          string // of discovery
+	addr          string // address of discovery
 	router        *Router
 	counters      *Counters
 	log           *zap.Logger
 	random        *rand.Rand
-	peerEndpoints *peerEndpoints // what other proxies tell; nil: there are none
-	duties        *Duties        // nil: every proxy watches for itself
+	peerEndpoints *peerEndpoints // endpoints reported by other proxies; nil: there are no other proxies
+	duties        *Duties        // nil: every proxy watches discovery itself
 	delegated     bool           // other proxies have the duty to watch
 
-	index         int64          // of what the router has been told
+	index         int64          // index of the latest list or change of the current watch
 	current       *endpointWatch // nil: none is open
-	previous      *endpointWatch // of the address before, until the current one has received something
-	failures      int            // watches in a row that received nothing
-	lastError     string         // of the last watch, so that a series of equal errors is one line in the log
-	receivedFirst bool           // anything, be it an empty line
-	receivedEvent bool           // a list or a change
-	firstMessage  chan struct{}  // closed when discovery has said something
-	latestIndex   atomic.Int64   // the latest that discovery or another proxy has told of; written by this goroutine
+	previous      *endpointWatch // watch of the previous address, until the current watch has received something
+	failures      int            // consecutive watches that received nothing
+	lastError     string         // error of the last watch; a series of equal errors is logged once
+	receivedFirst bool           // a watch has received something, possibly an empty line
+	receivedEvent bool           // a watch has received a list or a change
+	firstMessage  chan struct{}  // closed when discovery has sent something
+	latestIndex   atomic.Int64   // latest index reported by discovery or another proxy; written by this goroutine
 }
 
-// NewEndpointList returns the endpoint list that is watched at an address, and hands the router the list that this proxy
-// had before its start; nil: none.
+// NewEndpointList returns the endpoint list that watches discovery at an address. known is the list that this proxy had
+// from before its start, which is passed to the router; nil means that there is none.
 func NewEndpointList(
 	addr string, known *wire.EndpointList, router *Router, seed uint64, counters *Counters, log *zap.Logger,
 ) *EndpointList {
@@ -65,13 +65,14 @@
 	return l
 }
 
-// FirstMessage returns a channel that is closed when discovery has said something.
+// FirstMessage returns a channel that is closed when discovery has sent something.
 func (l *EndpointList) FirstMessage() <-chan struct{} { return l.firstMessage }
 
-// LatestIndex returns the latest index that discovery or another proxy has told of since the start; 0: neither has.
+// LatestIndex returns the latest index that discovery or another proxy has reported since the start, or 0 if there is
+// none.
 func (l *EndpointList) LatestIndex() int64 { return l.latestIndex.Load() }
 
-// Run carries out calls for as long as the process lives.
+// Run executes posted calls until the process ends.
 func (l *EndpointList) Run() {
 	if !l.polls() {
 		l.startWatch()
@@ -81,11 +82,12 @@
 	}
 }
 
-// polls reports whether the balancer says when discovery is asked, rather than discovery being watched all the time.
+// polls reports whether discovery is polled at the balancer's request, rather than watched continuously.
 func (l *EndpointList) polls() bool { return l.router.settings.Balancer.PollsList }
 
-// SetAddress has discovery watched at another address. The watch of the old one counts until the new one has said something,
-// so that a discovery that is slow to come up, or a mistaken address, loses no event that is still sent.
+// SetAddress changes the address of discovery. The watch of the old address stays in effect until the new address has
+// sent something, so that no event of the old address is lost when the new discovery is slow to start or the address is
+// wrong.
 func (l *EndpointList) SetAddress(addr string) { l.mailbox.post(func() { l.moveTo(addr) }) }
 
 func (l *EndpointList) moveTo(addr string) {
@@ -95,10 +97,10 @@
 	l.log.Info("discovery address changed",
 		zap.String("from", l.addr), zap.String("to", addr), zap.Int64("index", l.index))
 	l.addr, l.lastError = addr, ""
-	l.index = 0 // the two may not count their versions alike
+	l.index = 0 // the two addresses may number their versions differently
 	if l.previous == nil {
 		l.previous = l.current
-	} else if l.current != nil { // which has received nothing
+	} else if l.current != nil { // it has received nothing yet
 		l.current.cancel()
 	}
 	l.current = nil
@@ -122,7 +124,8 @@
 	}()
 }
 
-// randomFirstByteTimeout spreads the timeouts of proxies, whose watches may all have fallen silent at once.
+// randomFirstByteTimeout returns a random first-byte timeout. The randomness spreads the reconnects of proxies whose
+// watches may all have fallen silent at once.
 func (l *EndpointList) randomFirstByteTimeout() time.Duration {
 	timeout := pushFirstByteTimeout*3/4 + time.Duration(l.random.Int64N(int64(pushFirstByteTimeout)/2))
 	if l.polls() {
@@ -131,8 +134,8 @@
 	return timeout
 }
 
-// watchEnded takes note that a watch is over. Where discovery is watched all the time another is opened soon; where it
-// is polled, the balancer says when.
+// watchEnded handles the end of a watch. If discovery is watched continuously, another watch is opened after a backoff;
+// if it is polled, the balancer decides when. After a watch that fell silent, another is opened at once in both cases.
 func (l *EndpointList) watchEnded(watch *endpointWatch, err error) {
 	if watch == l.previous {
 		l.previous = nil
@@ -143,7 +146,7 @@
 	l.current = nil
 	l.reportWatching(false)
 	if errors.Is(err, wire.ErrProtocol) {
-		l.index = 0 // to get the whole list, since what the watch has told is in doubt
+		l.index = 0 // requests the complete list, since the events of this watch can't be trusted
 		l.counters.BadPeer.Add(1)
 	}
 	if text := errorText(err); text != l.lastError {
@@ -151,7 +154,7 @@
 		l.lastError = text
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, errDiscoveryDial) {
-		l.startWatch() // one more call does not overload a silent discovery, as it would one that rejects calls
+		l.startWatch() // one more request does not overload a silent discovery, unlike one that rejects requests
 		return
 	}
 	if l.polls() {
@@ -161,7 +164,7 @@
 	time.AfterFunc(l.nextBackoff(), func() { l.mailbox.post(l.startWatch) })
 }
 
-// nextBackoff returns the time until a watch is opened again. It is random, and longer after each failure, so that
+// nextBackoff returns the backoff before the next watch is opened. It is random and grows with each failure, so that
 // proxies whose watches all end at once, or that all start at once, do not overload a discovery that rejects them.
 func (l *EndpointList) nextBackoff() time.Duration {
 	mean := min(minWatchBackoff<<min(l.failures, maxBackoffDoublings), maxWatchBackoff)
@@ -169,7 +172,7 @@
 	return mean/2 + time.Duration(l.random.Int64N(int64(mean)))
 }
 
-// errorText words an error without addresses and ports, which differ each time.
+// errorText returns the text of an error without addresses and ports, which differ each time.
 func errorText(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) {
@@ -181,14 +184,14 @@
 	return err.Error()
 }
 
-// handleEvent tells the router, and the other proxies, what a watch has received.
+// handleEvent passes a list or change that a watch has received to the router and to the other proxies.
 func (l *EndpointList) handleEvent(watch *endpointWatch, event *wire.EndpointList) {
 	switch watch {
 	case l.current:
 		l.index = event.Index
 	case l.previous:
 	default:
-		return // it was cancelled
+		return // the watch was cancelled
 	}
 	l.counters.Lists.Add(1)
 	l.recordIndex(event.Index)
@@ -206,8 +209,8 @@
 	l.updateRouter(update)
 }
 
-// updateRouter hands the router a change of the list, part by part: requests that come meanwhile wait for one part at
-// most.
+// updateRouter passes a change of the list to the router in parts and waits until it is applied. Requests that arrive
+// meanwhile wait for one part at most.
 func (l *EndpointList) updateRouter(update endpointUpdate) {
 	r, isFirst := l.router, false
 	l.callRouter(func() {
@@ -222,7 +225,7 @@
 	}
 	for left := update.targets; len(left) > 0; {
 		taken := left
-		left = nil // stands after a panic
+		left = nil // ends the loop if the call panics
 		l.callRouter(func() { left = r.updateSomeHosts(taken, update.origin) })
 	}
 	if update.whole {
@@ -231,18 +234,18 @@
 	l.callRouter(r.updateDutyNodes)
 }
 
-// departUnlisted has the router mark the hosts as departed that the whole list that it has just taken does not name.
+// departUnlisted makes the router mark the hosts as departed that are not in the complete list it has just applied.
 func (l *EndpointList) departUnlisted() {
 	var left []*upstreamHost
 	l.callRouter(func() { left = l.router.unlistedHosts() })
 	for len(left) > 0 {
 		taken := left
-		left = nil // stands after a panic
+		left = nil // ends the loop if the call panics
 		l.callRouter(func() { left = l.router.departSomeHosts(taken) })
 	}
 }
 
-// callRouter has the router carry out a call, and waits for its end.
+// callRouter executes a call on the router's goroutine and waits until it returns.
 func (l *EndpointList) callRouter(call func()) {
 	done := make(chan struct{})
 	l.router.mailbox.post(func() {
@@ -252,14 +255,15 @@
 	<-done
 }
 
-// recordIndex notes an index that discovery or another proxy has told of.
+// recordIndex records an index that discovery or another proxy has reported, if it is the latest.
 func (l *EndpointList) recordIndex(index int64) {
 	if index > l.latestIndex.Load() {
 		l.latestIndex.Store(index)
 	}
 }
 
-// handleActivity takes note that a watch has received something, be it an empty line.
+// handleActivity records that a watch has received something, possibly an empty line. The first input on the current
+// watch ends the watch of the previous address.
 func (l *EndpointList) handleActivity(watch *endpointWatch) {
 	if watch != l.current {
 		return
@@ -276,8 +280,8 @@
 	}
 }
 
-// setWatching begins or ends this proxy's duty to watch discovery. What it was told until the end is then as old as
-// what other proxies tell.
+// setWatching starts or ends this proxy's duty to watch discovery. At the end the local state is cleared, since it is
+// from then on no more recent than the reports of other proxies.
 func (l *EndpointList) setWatching(on bool) {
 	l.delegated = !on
 	if on {
@@ -297,7 +301,7 @@
 	}
 }
 
-// reportWatching tells the duties whether the watch is alive.
+// reportWatching reports to the duties whether the watch is alive.
 func (l *EndpointList) reportWatching(alive bool) {
 	if d := l.duties; d != nil {
 		d.mailbox.tryPost(func() { d.execute(d.assignments.SetWatchLive(d.now(), alive)) })
