--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -12,31 +12,32 @@
 	"woodproxy/internal/wire"
 )
 
-// The timeouts of watches. Silence means that a call is broken, and it is made again at once. What it missed counts as
-// known six seconds after it fell silent, whether or not it came, and four seconds after SIGHUP; so a watch that falls
-// silent and the first call in its place, silent as well, leave time for more. What discovery has counts from when it
-// has it, be there an outage or not: so there is always a call open that it can answer as soon as it speaks again, and
-// there is no backoff between silent calls.
+// Timeouts and backoffs of watches. A silent watch is considered broken and is replaced at once. The proxy is expected
+// to apply the events that a silent watch missed within six seconds from the start of the silence, whether or not they
+// arrived, and within four seconds after SIGHUP. The timeouts are short enough that after a silent watch and a first
+// replacement that stays silent as well there is time for another. This limit is not extended during an outage of
+// discovery, so a request is always open that discovery can respond to as soon as it recovers, and there is no backoff
+// between silent watches.
 const (
-	// watchSilenceTimeout ends an open watch: discovery says something every two seconds.
+	// watchSilenceTimeout is the silence after which an open watch ends. Discovery sends something every two seconds.
 	watchSilenceTimeout = 3 * time.Second
-	// pushFirstByteTimeout is the mean for a call's first byte: the agent is on this machine, and answers at once or is
-	// not there.
+	// pushFirstByteTimeout is the mean timeout for the first byte of a watch: the discovery agent runs on this machine
+	// and either responds at once or is not running.
 	pushFirstByteTimeout = 1200 * time.Millisecond
-	// pollFirstByteTimeout is the least for a call's first byte where the list is polled: discovery is elsewhere then,
-	// and answers late when many proxies ask.
+	// pollFirstByteTimeout is the minimum timeout for the first byte when the list is polled: discovery is then on
+	// another machine and responds late when many proxies poll.
 	pollFirstByteTimeout = 2 * time.Second
 	watchDialTimeout     = time.Second
-	// minWatchBackoff is the mean before the first retry of a watch; it doubles with each failure.
+	// minWatchBackoff is the mean backoff before the first retry of a watch. It doubles with each failure.
 	minWatchBackoff = 200 * time.Millisecond
 	maxWatchBackoff = 800 * time.Millisecond
 	watchReadBuffer = 4 << 10 // bytes
 )
 
-// errDiscoveryDial marks errors of a connection to discovery that never came up.
+// errDiscoveryDial marks errors of connections to discovery that were never established.
 var errDiscoveryDial = errors.New("connect to discovery")
 
-// endpointWatch is one connection to discovery and its goroutine, which ends by a call of the list's watchEnded.
+// endpointWatch is one connection to discovery and its goroutine, which ends with a call to the list's watchEnded.
 type endpointWatch struct {
 	list             *EndpointList
 	addr             string
@@ -46,14 +47,14 @@
 	cancel           context.CancelFunc
 }
 
-// run reads events until the connection ends, and returns why.
+// run reads events until the connection ends, and returns the error that ended it.
 func (w *endpointWatch) run() error {
 	dialer := net.Dialer{Timeout: watchDialTimeout}
 	conn, err := dialer.DialContext(w.ctx, "tcp", w.addr)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errDiscoveryDial, err)
 	}
-	closeConn := func() { _ = conn.Close() } // nothing that was written or is still to be read matters any more
+	closeConn := func() { _ = conn.Close() } // neither unsent nor unread data is needed any more
 	defer closeConn()
 	defer context.AfterFunc(w.ctx, closeConn)()
 	events, err := w.open(&silenceReader{conn: conn, timeout: w.firstByteTimeout})
@@ -75,7 +76,8 @@
 	}
 }
 
-// silenceReader reads from a connection on which silence for a time is an error. A long list may take longer to come.
+// silenceReader reads from a connection and fails after a time without input. The timeout applies to each read, so a
+// long list may take longer than it to arrive.
 type silenceReader struct {
 	conn    net.Conn
 	timeout time.Duration
@@ -89,7 +91,7 @@
 	return r.conn.Read(p)
 }
 
-// open asks for events and reads the head of the response.
+// open sends the watch request and reads the header of the response.
 func (w *endpointWatch) open(input *silenceReader) (*wire.WatchReader, error) {
 	if err := input.conn.SetWriteDeadline(time.Now().Add(w.firstByteTimeout)); err != nil {
 		return nil, fmt.Errorf("set watch deadline: %w", err)
@@ -101,11 +103,11 @@
 	if _, err := reader.Peek(1); err != nil {
 		return nil, err
 	}
-	input.timeout = watchSilenceTimeout // what has begun to arrive may come in pieces
+	input.timeout = watchSilenceTimeout // a response that has begun to arrive may come in pieces
 	return wire.OpenWatch(reader)
 }
 
-// postEvent reads an object and hands it to the list.
+// postEvent decodes an event and posts it to the list.
 func (w *endpointWatch) postEvent(object io.Reader) error {
 	event, err := wire.ReadEndpointList(object)
 	if err != nil {
