--- a/internal/proxy/host_index.go
+++ b/internal/proxy/host_index.go
@@ -10,17 +10,18 @@
 	"go.uber.org/zap"
 )
 
-// listOrigin is what an endpoint list, or a change of it, tells of when its hosts started.
+// listOrigin is the source of an endpoint list or a change of it. It determines how start times of hosts are
+// interpreted.
 type listOrigin uint8
 
 const (
-	listChange       listOrigin = iota // starts that it tells of happen now
-	listFirstMessage                   // discovery's first: starts may have been before this process's
+	listChange       listOrigin = iota // a change: hosts that it reports as started are starting now
+	listFirstMessage                   // first list or change from discovery: hosts may have started before this process
 	listKnownAtStart                   // the list that this process started with: no host counts as new
 )
 
-// The router takes a long list step by step, and looks at its other calls once steps have taken listCallTime: requests
-// do not wait for a whole list.
+// The router applies a long list in steps of maxHostsPerStep hosts, and returns to its other calls once the steps have
+// taken listCallTime, so that requests do not wait for a complete list.
 const (
 	maxHostsPerStep = 4
 	listCallTime    = 200 * time.Microsecond
@@ -28,14 +29,14 @@
 
 // endpointUpdate is a change of the endpoint list.
 type endpointUpdate struct {
-	whole   bool // hosts that it does not name have departed
+	whole   bool // a complete list: hosts that are not in it have departed
 	origin  listOrigin
 	targets []wire.Endpoint
 }
 
-// updateEndpoints takes a change of the endpoint list, and whatever it brings at once.
+// updateEndpoints applies a change of the endpoint list in one call.
 func (r *Router) updateEndpoints(update endpointUpdate) {
-	if len(r.hosts) == 0 { // where none is known, nothing shows which are new
+	if len(r.hosts) == 0 { // without known hosts, new ones can't be told from old ones
 		update.origin = listKnownAtStart
 	}
 	r.beginUpdate()
@@ -46,14 +47,14 @@
 	r.updateDutyNodes()
 }
 
-// beginUpdate begins to take a change of the endpoint list. Calls of updateHosts or updateSomeHosts follow, and for a
-// whole list of departHosts or departSomeHosts.
+// beginUpdate starts a change of the endpoint list. It is followed by calls of updateHosts or updateSomeHosts and, for a
+// complete list, of departHosts or departSomeHosts.
 func (r *Router) beginUpdate() {
 	r.removeDeparted(r.clock.Now())
 	r.updates++
 }
 
-// updateSomeHosts takes lines of the endpoint list for a while, and returns those that are left.
+// updateSomeHosts applies entries of the endpoint list for about listCallTime, and returns the remaining ones.
 func (r *Router) updateSomeHosts(targets []wire.Endpoint, origin listOrigin) (left []wire.Endpoint) {
 	for began := time.Now(); len(targets) > 0 && time.Since(began) < listCallTime; {
 		step := min(len(targets), maxHostsPerStep)
@@ -63,7 +64,7 @@
 	return targets
 }
 
-// updateHosts takes lines of the endpoint list. Those that say what is known already change nothing.
+// updateHosts applies entries of the endpoint list. Entries that are equal to the current ones change nothing.
 func (r *Router) updateHosts(targets []wire.Endpoint, origin listOrigin) {
 	now := r.clock.Now()
 	var changed []*upstreamHost
@@ -82,7 +83,7 @@
 	}
 }
 
-// unlistedHosts returns the hosts that the current update, a whole list, has not named.
+// unlistedHosts returns the listed hosts that the current update, a complete list, does not contain.
 func (r *Router) unlistedHosts() (unlisted []*upstreamHost) {
 	for _, h := range r.hosts {
 		if h != nil && h.updatedBy != r.updates && h.departedAt == 0 {
@@ -92,7 +93,7 @@
 	return unlisted
 }
 
-// departSomeHosts marks hosts as departed for a while, and returns those that are left.
+// departSomeHosts marks hosts as departed for about listCallTime, and returns the remaining ones.
 func (r *Router) departSomeHosts(unlisted []*upstreamHost) (left []*upstreamHost) {
 	for began := time.Now(); len(unlisted) > 0 && time.Since(began) < listCallTime; {
 		step := min(len(unlisted), maxHostsPerStep)
@@ -113,7 +114,7 @@
 	r.hostsChanged(now, unlisted, false)
 }
 
-// hostsChanged tells the balancer and the zone health of hosts whose lines have changed.
+// hostsChanged updates the balancer and the zone health with hosts whose entries have changed.
 func (r *Router) hostsChanged(now balancer.Time, changed []*upstreamHost, first bool) {
 	listings := make([]balancer.Endpoint, 0, len(changed))
 	for _, h := range changed {
@@ -125,7 +126,7 @@
 	r.updateZoneNodes(changed)
 }
 
-// markDeparted notes when a host left the endpoint list.
+// markDeparted records the time at which a host left the endpoint list.
 func (r *Router) markDeparted(h *upstreamHost, now balancer.Time) {
 	if h.departedAt != 0 {
 		return
@@ -137,8 +138,8 @@
 	}
 }
 
-// updateHost takes a host's line of the endpoint list, and returns the host and whether its line has changed. It returns
-// nil for a host that has departed and was never known.
+// updateHost applies a host's entry of the endpoint list, and returns the host and whether its entry has changed. It
+// returns nil for a departed host that is not known.
 func (r *Router) updateHost(target wire.Endpoint, origin listOrigin, now balancer.Time) (h *upstreamHost, isChanged bool) {
 	if index, known := r.hostIndex[target.Name]; known {
 		return r.updateKnownHost(r.hosts[index], target, origin, now)
@@ -148,7 +149,7 @@
 	}
 	h = r.addHost(target)
 	if origin != listKnownAtStart && target.StartedAtUnixMilli == 0 {
-		// The balancer takes it to have just started, and so do the proxies that learn of it from this one.
+		// The balancer, and the proxies that receive the host from this one, assume that it has just started.
 		target.StartedAtUnixMilli = int64(now / ticksPerMillisecond)
 	}
 	h.startedAt = startTime(target, origin, now)
@@ -174,9 +175,10 @@
 	return h, true
 }
 
-// restartedBy reports whether a line of the endpoint list tells of a start after the one that is known. Discovery tells
-// changes in order, and a server whose wall clock was set back starts earlier by that than before; what peers tell may
-// be old. No start, 0, is what discovery says of one that was long ago.
+// restartedBy reports whether an entry of the endpoint list reports a start after the known one. Discovery sends changes
+// in order, so any different start time from it is a restart, even an earlier one: the server's wall clock may have been
+// set back. Reports from peers may be outdated, so only a later start time counts. Discovery sends 0 for a start that was
+// long ago.
 func (h *upstreamHost) restartedBy(target wire.Endpoint) bool {
 	known := h.endpoint.StartedAtUnixMilli
 	switch {
@@ -188,9 +190,10 @@
 	return true
 }
 
-// startTime returns when a host started, by this process's clock; 0 is long ago. A start that is seen happens now, be
-// it told late: to compare the wall clocks of two machines would have a slow start be over before it began, or last as
-// long as they differ. Of starts before this process nothing but the wall clock tells.
+// startTime returns the time at which a host started, on this process's clock; 0 means long ago. A start that is
+// reported while this process runs counts as happening now, even if the report is late: if the wall clocks of two
+// machines were compared, the slow start could be over before it began, or last for as long as the clocks differ. For
+// starts before this process, the wall clock is the only source.
 func startTime(target wire.Endpoint, origin listOrigin, now balancer.Time) balancer.Time {
 	switch {
 	case target.StartedAtUnixMilli == 0:
@@ -201,7 +204,7 @@
 	return now
 }
 
-// addHost gives a new host an index.
+// addHost creates a host and assigns it a free index.
 func (r *Router) addHost(target wire.Endpoint) *upstreamHost {
 	index := len(r.hosts)
 	if n := len(r.freeHosts); n > 0 {
@@ -220,7 +223,7 @@
 	return r.settings.OriginKind != "" && target.Kind == r.settings.OriginKind
 }
 
-// setEndpoint takes over the host's line of the endpoint list.
+// setEndpoint replaces the host's entry of the endpoint list.
 func (r *Router) setEndpoint(h *upstreamHost, target wire.Endpoint, now balancer.Time) {
 	h.endpoint = target
 	if known := h.addr.Load(); target.Address != "" && (known == nil || *known != target.Address) {
@@ -235,7 +238,7 @@
 	}
 }
 
-// setReady notes whether the host takes requests, and since when it does not.
+// setReady records whether the host accepts requests, and the time since which it does not.
 func (h *upstreamHost) setReady(ready bool) {
 	if ready {
 		h.notReadySince.Store(0)
@@ -245,7 +248,7 @@
 	h.ready.Store(ready)
 }
 
-// listing returns what the balancer is told of a host.
+// listing returns a host as the balancer's endpoint.
 func (r *Router) listing(h *upstreamHost) balancer.Endpoint {
 	target := &h.endpoint
 	zone, ok := r.settings.Zones[target.Zone]
@@ -258,11 +261,12 @@
 	}
 }
 
-// removeDeparted frees the indices of hosts that departed longer ago than any request lives, so that none is left that
-// was sent there. Hosts are replaced by others under new names all the time.
+// removeDeparted frees the indices of hosts that departed longer ago than the longest request timeout and have no
+// attempt in flight, so that no request can still refer to them. This keeps the index small: hosts are replaced all the
+// time by others with new names.
 func (r *Router) removeDeparted(now balancer.Time) {
 	r.departedHosts = slices.DeleteFunc(r.departedHosts, func(h *upstreamHost) bool {
-		if h.departedAt == 0 { // it is listed again
+		if h.departedAt == 0 { // the host is listed again
 			h.awaitsRemoval = false
 			return true
 		}
@@ -279,7 +283,7 @@
 	})
 }
 
-// listedTargets returns the lines of the hosts that are listed.
+// listedTargets returns the entries of the hosts that are listed.
 func (r *Router) listedTargets() []wire.Endpoint {
 	var targets []wire.Endpoint
 	for _, h := range r.hosts {
