--- a/internal/proxy/negative_cache.go
+++ b/internal/proxy/negative_cache.go
@@ -14,13 +14,14 @@
 const (
 	negativeCacheTick        = 25 * time.Millisecond
 	negativeCacheMailboxSize = 1024
-	// maxWriteHashes bounds the hashes that are taken from one message on writes.
+	// maxWriteHashes is the maximum number of hashes that are recorded from one write message.
 	maxWriteHashes = 1024
 )
 
-// NegativeCache is the goroutine of the negative cache: of keys that are known to be absent at the origin. Clients' goroutines
-// look keys up in its table and note writes there by themselves, under the table's locks; what is told to other
-// proxies, and what of theirs is believed, is decided on this goroutine. Exported methods may be called from any.
+// NegativeCache is the goroutine of the negative cache, which holds keys that are known to be absent at the origin.
+// Client goroutines look up keys and record writes directly in its table, under the table's locks. This goroutine
+// decides which messages are sent to other proxies and which of theirs are accepted. Exported methods may be called
+// from any goroutine.
 type NegativeCache struct {
 	mailbox      mailbox
 	cache        *negativecache.Cache
@@ -29,13 +30,13 @@
 	settings     *settings.Settings
 	counters     *Counters
 	log          *zap.Logger
-	broadcast    func(d *negativecache.Decision) // tells other proxies; it must not wait. nil: there are none
-	writeDropped atomic.Bool                     // a write found the mailbox full
-	sentWrites   atomic.Int64                    // messages on writes
+	broadcast    func(d *negativecache.Decision) // sends to other proxies, must not block; nil: there are no other proxies
+	writeDropped atomic.Bool                     // a write was not posted because the mailbox was full
+	sentWrites   atomic.Int64                    // write messages sent to other proxies
 	figures      atomic.Pointer[negativecache.Stats]
 }
 
-// NewNegativeCache returns the negative cache of a router, which answers by it. It is to be called before the router runs.
+// NewNegativeCache returns the negative cache of a router. It must be called before the router's Run.
 func NewNegativeCache(
 	terms negativecache.Settings, router *Router, broadcast func(d *negativecache.Decision), log *zap.Logger,
 ) *NegativeCache {
@@ -49,7 +50,7 @@
 	return n
 }
 
-// Run carries out calls for as long as the process lives.
+// Run executes posted calls until the process ends.
 func (n *NegativeCache) Run() {
 	n.mailbox.run(n.log, n.counters, negativeCacheTick, func() { runRecovered(n.log, n.counters, n.tick) })
 }
@@ -77,19 +78,20 @@
 	n.sentWrites.Store(n.cache.WriteReportsSent())
 }
 
-// SentWriteMessages returns how many messages on writes have been sent to other proxies.
+// SentWriteMessages returns the number of write messages that have been sent to other proxies.
 func (n *NegativeCache) SentWriteMessages() int64 { return n.sentWrites.Load() }
 
-// Stats returns the cache's figures as of its last tick.
+// Stats returns the cache's statistics as of its last tick.
 func (n *NegativeCache) Stats() negativecache.Stats { return *n.figures.Load() }
 
-// SetMembers takes the proxies that may write, of so many that operators state. catchingUp means that not all are known yet.
+// SetMembers sets the list of proxies that may accept writes. stated is the number of proxies that operators have
+// configured. catchingUp means that the list may still be incomplete.
 func (n *NegativeCache) SetMembers(all []negativecache.Proxy, stated int, catchingUp bool) {
 	n.mailbox.tryPost(func() { n.execute(n.cache.UpdateFleet(n.now(), all, stated, catchingUp)) })
 }
 
-// ReceiveWrites takes a message of another proxy on keys that were written. The table has them at once; if the mailbox is
-// full the message is lost, which the cache finds out by its number.
+// ReceiveWrites handles another proxy's message with hashes of keys that were written. They are recorded in the table
+// at once. If the mailbox is full the message itself is lost, which the cache detects by the gap in message numbers.
 func (n *NegativeCache) ReceiveWrites(from string, epoch int64, w negativecache.KeyReport) {
 	now := n.now()
 	for _, hash := range w.Hashes[:min(len(w.Hashes), maxWriteHashes)] {
@@ -98,7 +100,8 @@
 	n.mailbox.tryPost(func() { n.execute(n.cache.ReceiveWriteReport(n.now(), from, epoch, w)) })
 }
 
-// ReceiveAbsentKeys takes a message of another proxy on keys that the origin lacks, sent age ago.
+// ReceiveAbsentKeys handles another proxy's message with hashes of keys that are absent at the origin. age is the time
+// since the message was sent.
 func (n *NegativeCache) ReceiveAbsentKeys(from string, w negativecache.KeyReport, age negativecache.Time) {
 	n.mailbox.tryPost(func() { n.execute(n.cache.ReceiveAbsentReport(n.now(), from, w, age)) })
 }
@@ -108,8 +111,8 @@
 	return n.mailbox.tryPost(func() { n.execute(n.cache.Flush(n.now())) })
 }
 
-// lookUp reports whether the key of a read is known to be absent. A write's key no longer is. It may be called on a nil
-// cache, and from any goroutine.
+// lookUp reports whether the key of a read is known to be absent. For a write it records the key as written and returns
+// false. It may be called on a nil cache, and from any goroutine.
 func (n *NegativeCache) lookUp(req *request) bool {
 	if n == nil {
 		return false
@@ -125,14 +128,14 @@
 	return false
 }
 
-// beginFetch notes that a read is about to be sent to the origin. It may be called on a nil cache.
+// beginFetch records that a read is about to be sent to the origin. It may be called on a nil cache.
 func (n *NegativeCache) beginFetch(attempt *attempt) {
 	if n != nil && attempt.request.value == nil {
 		attempt.cacheTicket = n.table.BeginFetch(xxhash.Sum64(attempt.request.key))
 	}
 }
 
-// recordMiss takes the origin's answer that it has no such key.
+// recordMiss handles a response from the origin that the key is absent.
 func (n *NegativeCache) recordMiss(attempt *attempt) {
 	hash, ticket := xxhash.Sum64(attempt.request.key), attempt.cacheTicket
 	tenant, ok := n.settings.Tenants[attempt.request.tenant]
