--- a/internal/proxy/peer_endpoints.go
+++ b/internal/proxy/peer_endpoints.go
@@ -8,25 +8,25 @@
 	"woodproxy/internal/wire"
 )
 
-// peerUpdate is an endpoint as another proxy's discovery told of it at an index.
+// peerUpdate is an endpoint as another proxy's discovery reported it at an index.
 type peerUpdate struct {
 	index int64
 	wire.Endpoint
 }
 
-// peerEndpoints is what the endpoint list knows from other proxies. Their endpoints count where their discovery is
-// further than this proxy's own. What the own one has told to drain stays drained until it says otherwise itself,
-// whatever other proxies hold.
+// peerEndpoints is the part of the endpoint list that was received from other proxies. An endpoint from another proxy is
+// used if its index is later than the index of this proxy's discovery. An endpoint that this proxy's discovery has
+// reported as draining stays so until this proxy's discovery reports otherwise, regardless of other proxies.
 type peerEndpoints struct {
-	notify func(index int64, whole bool, list []wire.Endpoint) // tells other proxies; it must not wait
+	notify func(index int64, whole bool, list []wire.Endpoint) // sends to other proxies; must not block
 
 	mu       sync.Mutex
-	incoming map[string]peerUpdate // by name, not looked at yet; emptied by the list's goroutine
+	incoming map[string]peerUpdate // updates to be applied, by name; cleared by the list's goroutine
 
-	// Only the list's goroutine looks at these.
-	newer    map[string]peerUpdate    // of a later index than this proxy's discovery; emptied as that gets there
-	local    map[string]wire.Endpoint // as this proxy's discovery told, departed ones too; emptied by its whole lists
-	complete bool                     // this proxy's discovery has told a whole list
+	// Accessed only by the list's goroutine.
+	newer    map[string]peerUpdate    // updates with a later index than this proxy's discovery, by name
+	local    map[string]wire.Endpoint // as reported by this proxy's discovery since its last complete list, departed ones included
+	complete bool                     // this proxy's discovery has sent a complete list
 }
 
 func newPeerEndpoints(notify func(index int64, whole bool, list []wire.Endpoint)) *peerEndpoints {
@@ -36,19 +36,20 @@
 	}
 }
 
-// SetPeerNotifier has other proxies notified of what discovery tells, by a function that must not wait. It is to be called before
-// Run.
+// SetPeerNotifier sets the function that sends lists and changes from discovery to other proxies. The function must not
+// block. SetPeerNotifier must be called before Run.
 func (l *EndpointList) SetPeerNotifier(notify func(index int64, whole bool, list []wire.Endpoint)) {
 	l.peerEndpoints = newPeerEndpoints(notify)
 }
 
-// ReceivePeerUpdate takes an endpoint from another proxy. It does not wait, since the list's goroutine waits for who calls it.
+// ReceivePeerUpdate handles an endpoint from another proxy. It does not block, since the list's goroutine may itself be
+// waiting for the caller's goroutine.
 func (l *EndpointList) ReceivePeerUpdate(index int64, t wire.Endpoint) {
 	l.peerEndpoints.receive(peerUpdate{index, t})
-	l.mailbox.tryPost(l.applyPeerUpdates) // if the mailbox is full, the next call applies this one too
+	l.mailbox.tryPost(l.applyPeerUpdates) // if the mailbox is full, the next call applies this update as well
 }
 
-// receive keeps the latest update of each endpoint until it is applied.
+// receive stores an update until it is applied, unless a later one of the same endpoint is stored.
 func (p *peerEndpoints) receive(update peerUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// takeIncoming returns the updates that have been received, by name.
+// takeIncoming removes and returns the received updates, sorted by name.
 func (p *peerEndpoints) takeIncoming() []peerUpdate {
 	p.mu.Lock()
 	updates := make([]peerUpdate, 0, len(p.incoming))
@@ -70,7 +71,7 @@
 	return updates
 }
 
-// applyPeerUpdates tells the router what is new of that which other proxies have told.
+// applyPeerUpdates passes new endpoints from other proxies to the router, and sends corrections of outdated ones.
 func (l *EndpointList) applyPeerUpdates() {
 	updates := l.peerEndpoints.takeIncoming()
 	changed, corrections := l.peerEndpoints.classify(l.index, updates)
@@ -87,8 +88,9 @@
 	l.updateRouter(endpointUpdate{targets: changed})
 }
 
-// classify returns what is new of the updates from other proxies, and the corrections that they need: an older update
-// that differs from what this proxy's discovery says by now spreads, and proxies that no discovery tells would keep it.
+// classify returns the endpoints of updates from other proxies that are newer than index, and the corrections to send
+// for older ones that differ from the state of this proxy's discovery. Without a correction an outdated update would
+// spread and be kept by proxies that receive nothing from discovery.
 func (p *peerEndpoints) classify(index int64, updates []peerUpdate) (changed, corrections []wire.Endpoint) {
 	for _, update := range updates {
 		local, known := p.local[update.Name]
@@ -114,7 +116,8 @@
 	return a.Ready != b.Ready || a.Departed != b.Departed || a.StartedAtUnixMilli != b.StartedAtUnixMilli
 }
 
-// merge takes what this proxy's discovery has told at an index, and returns it with what other proxies know better.
+// merge applies a list or change from this proxy's discovery at an index, and returns it with the endpoints replaced or
+// added for which other proxies have reported a later state.
 func (p *peerEndpoints) merge(index int64, whole bool, list []wire.Endpoint) []wire.Endpoint {
 	if whole {
 		p.complete = true
@@ -132,7 +135,7 @@
 		listed[target.Name] = true
 		p.local[target.Name] = *target
 		if update, ok := p.newer[target.Name]; ok && target.Ready {
-			address := target.Address // another proxy may reach it at another address
+			address := target.Address // another proxy may reach the endpoint at another address
 			*target = update.Endpoint
 			if address != "" {
 				target.Address = address
@@ -145,7 +148,7 @@
 	return merged
 }
 
-// newerUnlisted returns the endpoints, by name, that only other proxies know of yet.
+// newerUnlisted returns the endpoints, sorted by name, that only other proxies have reported so far.
 func (p *peerEndpoints) newerUnlisted(listed map[string]bool) []wire.Endpoint {
 	var targets []wire.Endpoint
 	for name, update := range p.newer {
