--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,43 +10,43 @@
 	"woodproxy/internal/wire"
 )
 
-// finalReply is the kind of a request's one final reply.
+// finalReply is the kind of a request's single final reply.
 type finalReply uint8
 
 const (
 	replyCompleted finalReply = iota
 	replyShed
 	replyError
-	replyNotFound // completed, and the origin has no such key
+	replyNotFound // completed: the key is absent at the origin
 )
 
-// request is one command's place among the replies of its connection, which are written in order. What the command
-// said is copied, since the reader's buffer is reused.
+// request is one command of a client connection and its reply. Replies are written in the order of the commands. The
+// contents of the command are copied, since the reader's buffer is reused.
 type request struct {
 	conn                 *clientConn
-	proxied              bool // to an upstream; false for PING and the like
+	proxied              bool // the request is forwarded to an upstream; false for PING and other control commands
 	name, key, id, facts []byte
 	value                []byte // nil: the command has none
 	route, tenant        string
-	waitMS               int           // how long the client waits, in milliseconds
+	waitMS               int           // the client's wait in milliseconds
 	isRetry              bool          // the client has sent the same request before
-	valueBytes           int           // of the value and of the reply's body, as counted in the value memory
-	admitted             bool          // counts as held until its reply is written or its client has gone
-	receivedAt           balancer.Time // when its last byte was read
+	valueBytes           int           // bytes of the value and the reply's body that are counted in the value memory
+	admitted             bool          // the request counts as held until its reply is written or its client has gone
+	receivedAt           balancer.Time // time at which the last byte was read
 
-	slot    int  // index of its request slot; only the router's goroutine looks at this and hasSlot
-	hasSlot bool // it has been handed to the balancer
+	slot    int  // index of the request's slot; accessed, like hasSlot, only by the router's goroutine
+	hasSlot bool // the request has been passed to the balancer
 
-	life    lifecycle.Request // says whether a further attempt may begin
-	endedAt atomic.Int64      // when it had its final reply or its client left, in nanoseconds of the router's clock; 0: neither
+	life    lifecycle.Request // state that determines whether another attempt may begin
+	endedAt atomic.Int64      // time of the final reply or of the client's departure, in nanoseconds of the router's clock; 0: neither
 
-	writeTime atomic.Int64 // the longest that an attempt's value took to be written in part, in nanoseconds
+	writeTime atomic.Int64 // longest time spent writing an attempt whose writing was then broken off, in nanoseconds
 
 	// The reply, guarded by conn.mu.
 	ready  bool
 	header []byte
 	body   []byte
-	stream *stream // in place of the body, for values that are passed on in chunks
+	stream *stream // replaces the body if the value is streamed
 }
 
 var (
@@ -55,7 +55,7 @@
 	upstreamErrorReply = []byte("-ERR failed upstream\r\n")
 )
 
-// newRequest returns an admitted request with a copy of what the command says.
+// newRequest returns an admitted request with a copy of the command's contents.
 func newRequest(c *clientConn, cmd *wire.Command) *request {
 	all := make([]byte, 0, len(cmd.Name)+len(cmd.Key)+len(cmd.ID)+len(cmd.Facts))
 	keep := func(b []byte) []byte {
@@ -69,15 +69,15 @@
 	}
 }
 
-// parseFacts reads route, tenant and waiting time from the request's facts, and returns an error if upstreams would
-// reject the request as malformed.
+// parseFacts sets the route, the tenant, the client's wait and the retry mark from the request's facts. It returns an
+// error if upstreams would reject the request as malformed.
 func (r *request) parseFacts() error {
 	facts, err := wire.ParseFacts(r.facts)
 	if err == nil {
-		err = wire.CheckPrintable(r.id, r.facts) // they become HTTP headers, to which a line end would add another
+		err = wire.CheckPrintable(r.id, r.facts) // they become HTTP headers, and a line end would inject another header
 	}
 	if len(r.id) == 0 || len(r.key) == 0 {
-		err = wire.ErrProtocol // each upstream would reject it, one after the other
+		err = wire.ErrProtocol // every upstream would reject the request, one after the other
 	}
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// clientUntil returns until when the client waits, the zero time where that is not known.
+// clientUntil returns the time until which the client waits, or the zero time if it is not known.
 func (r *request) clientUntil(clock Clock) time.Time {
 	if r.receivedAt == 0 {
 		return time.Time{}
@@ -95,8 +95,8 @@
 	return clock.Instant(r.receivedAt).Add(time.Duration(r.waitMS) * time.Millisecond)
 }
 
-// reply sets the final reply. A completed request carries the value as the upstream sent it; retryAfterMS, in
-// milliseconds, is told to clients whose request is shed, unless it is 0.
+// reply sets the final reply. value is the upstream's value for a completed request. If the request is shed,
+// retryAfterMS is sent to the client as Retry-After, in milliseconds, unless it is 0.
 func (r *request) reply(counters *Counters, kind finalReply, value []byte, retryAfterMS int) {
 	switch kind {
 	case replyCompleted:
@@ -119,7 +119,7 @@
 	}
 }
 
-// replyStream sets the reply of a completed request whose value is passed on in chunks.
+// replyStream sets the reply of a completed request whose value is streamed.
 func (r *request) replyStream(counters *Counters, s *stream) {
 	counters.Completed.Add(1)
 	counters.Flows.Add(1)
@@ -127,8 +127,8 @@
 	r.setReply(wire.AppendLength(nil, '$', s.length), nil)
 }
 
-// setReply makes the request ready, and interrupts its connection if its reply is the next to be written. The bytes of
-// a body are counted in the value memory already, and are released with the request. Any goroutine may call it.
+// setReply stores the reply, and interrupts the client connection if this reply is the next to be written. The bytes of
+// the body are already counted in the value memory, and are released with the request. Any goroutine may call it.
 func (r *request) setReply(header, body []byte) {
 	c := r.conn
 	c.mu.Lock()
@@ -141,7 +141,7 @@
 		return
 	}
 	r.header, r.body, r.ready = header, body, true
-	if r.admitted { // by which its bytes are released
+	if r.admitted { // release frees the bytes of admitted requests only
 		r.valueBytes += len(body)
 	}
 	if len(c.pending) > 0 && c.pending[0] == r {
@@ -149,7 +149,7 @@
 	}
 }
 
-// release gives up what a request holds once its reply is written or its client has gone.
+// release frees the resources of a request once its reply is written or its client has gone.
 func (r *request) release(listener *Listener) {
 	if r.stream != nil {
 		r.stream.abandon()
--- a/internal/proxy/request_slot.go
+++ b/internal/proxy/request_slot.go
@@ -9,18 +9,18 @@
 	"go.uber.org/zap"
 )
 
-// requestSlot holds a request from its arrival until it has its final reply and no attempt of it is in flight. Its
-// index is the balancer's name for the request.
+// requestSlot holds a request from its arrival until it has its final reply and has no attempt in flight. The balancer
+// identifies the request by the index of its slot.
 type requestSlot struct {
 	request     *request
 	attempts    []*attempt
-	inFlight    int           // of the attempts
+	inFlight    int           // number of attempts in flight
 	finished    bool          // the request has its final reply, or its client has gone
-	firstSentAt balancer.Time // of the first attempt that the upstream may have carried out; 0: there is none
+	firstSentAt balancer.Time // sentAt of the first attempt that the upstream may have executed; 0: there is none
 	trace       requestTrace
 }
 
-// handleRequest takes a request that was read whole.
+// handleRequest handles a request that was read completely.
 func (r *Router) handleRequest(req *request) {
 	route, ok := r.settings.Routes[req.route]
 	if !ok {
@@ -28,7 +28,7 @@
 		return
 	}
 	if _, taken := r.openIDs[string(req.id)]; taken {
-		// Upstreams would take it for the open one, or reject it one after the other.
+		// Upstreams would mistake the request for the open one with the same id, or reject it one after the other.
 		r.counters.Taken.Add(1)
 		req.reply(r.counters, replyError, nil, 0)
 		return
@@ -40,13 +40,13 @@
 	r.apply(now, func(b *balancer.Balancer) []balancer.Decision { return b.Arrive(now, slot, exchange) })
 }
 
-// describe returns what the balancer decides on.
+// describe returns the balancer's description of a request.
 func (r *Router) describe(req *request, route int, now balancer.Time) balancer.Request {
 	tenant, ok := r.settings.Tenants[req.tenant]
 	if !ok {
 		tenant = -1
 	}
-	// A request is held no longer than its route allows, and not beyond the end of the process.
+	// A request is held no longer than its route's timeout, and not beyond the end of the process.
 	wait := min(balancer.Time(req.waitMS)*ticksPerMillisecond, r.settings.Balancer.Routes[route].Timeout)
 	wait -= now - req.receivedAt
 	if r.shutdownAt != 0 {
@@ -64,7 +64,7 @@
 	return h.Sum64()
 }
 
-// acquireSlot gives a request a slot.
+// acquireSlot assigns a free slot to a request and returns its index.
 func (r *Router) acquireSlot(req *request) int {
 	r.openIDs[string(req.id)] = struct{}{}
 	slot := len(r.slots)
@@ -78,7 +78,7 @@
 	return slot
 }
 
-// releaseSlot frees a slot once nothing more can come for its request.
+// releaseSlot frees a slot if its request is finished and has no attempt in flight.
 func (r *Router) releaseSlot(slot int) {
 	s := &r.slots[slot]
 	if !s.finished || s.inFlight > 0 || s.request == nil {
@@ -86,12 +86,12 @@
 	}
 	r.logTrace(s)
 	delete(r.openIDs, string(s.request.id))
-	clear(s.attempts) // or the slot would hold the request's value until its next use
+	clear(s.attempts) // otherwise the slot would retain the request's value until its next use
 	*s = requestSlot{attempts: s.attempts[:0]}
 	r.freeSlots = append(r.freeSlots, slot)
 }
 
-// clientGone takes note that the client of a pending request has gone.
+// clientGone handles the departure of a pending request's client.
 func (r *Router) clientGone(req *request) {
 	if !req.hasSlot {
 		return
@@ -109,7 +109,7 @@
 	r.releaseSlot(req.slot)
 }
 
-// reject gives a request the final reply that a decision says, unless it has one.
+// reject sends a request the final reply of a Shed or Error decision, unless it is finished.
 func (r *Router) reject(d *balancer.Decision, kind finalReply) {
 	r.counters.Rejections[d.Reason].Add(1)
 	s, event := &r.slots[d.Request], traceShed
@@ -120,7 +120,8 @@
 	r.reply(d.Request, kind, nil, d.After)
 }
 
-// reply gives a request its final reply, unless it has one. retryAfter is told to clients whose request is shed.
+// reply sends a request its final reply, unless it is finished. retryAfter is sent to the client as Retry-After if the
+// request is shed.
 func (r *Router) reply(slot int, kind finalReply, value []byte, retryAfter balancer.Time) {
 	if s := &r.slots[slot]; !s.finished {
 		r.markFinished(s, lifecycle.ReplyDecided)
@@ -129,8 +130,9 @@
 	}
 }
 
-// markFinished notes that a request needs nothing more. Attempts that are in flight and not yet written must not be
-// written: they may wait for a connection that comes up late, and cancelling may not be allowed.
+// markFinished marks a request as finished and stops the writing of its attempts. Attempts that are in flight but not yet
+// written must not be written: they may be waiting for a connection that is established late, and the settings may not
+// allow canceling.
 func (r *Router) markFinished(s *requestSlot, event lifecycle.RequestEvent) {
 	s.finished = true
 	r.endRequest(s.request, event)
@@ -144,7 +146,7 @@
 	}
 }
 
-// endRequest notes that nothing more may be begun for a request. Any goroutine may call it.
+// endRequest records that no attempt may be started for a request any more. Any goroutine may call it.
 func (r *Router) endRequest(req *request, event lifecycle.RequestEvent) {
 	req.endedAt.CompareAndSwap(0, int64(r.clock.Elapsed()))
 	if err := req.life.Apply(event); err != nil {
@@ -153,7 +155,7 @@
 	}
 }
 
-// attemptFinished takes how an attempt ended.
+// attemptFinished handles the result of an attempt.
 func (r *Router) attemptFinished(attempt *attempt, result attemptResult) {
 	s := &r.slots[attempt.slot]
 	s.inFlight--
@@ -178,7 +180,7 @@
 	r.releaseSlot(attempt.slot)
 }
 
-// mayHaveRun reports whether an attempt with an outcome may have been carried out by the upstream.
+// mayHaveRun reports whether the upstream may have executed an attempt with the given outcome.
 func mayHaveRun(outcome balancer.Outcome) bool {
 	switch outcome {
 	case balancer.Completed, balancer.ServerError, balancer.TimedOut, balancer.Reset, balancer.Cancelled:
@@ -187,7 +189,7 @@
 	return false
 }
 
-// deliver replies to the client with a completed attempt's value. Values that no client waits for are dropped.
+// deliver replies to the client with the value of a completed attempt. Values that no client waits for are dropped.
 func (r *Router) deliver(attempt *attempt, result attemptResult) {
 	s := &r.slots[attempt.slot]
 	wanted := result.outcome == balancer.Completed && !s.finished
