--- a/internal/proxy/router.go
+++ b/internal/proxy/router.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	// maxRequestsInFlight is how many requests may be held at most, whatever the memory; it bounds mailboxes.
+	// maxRequestsInFlight is the maximum number of requests that are held, regardless of the memory limit. It bounds
+	// the mailboxes.
 	maxRequestsInFlight = 1024
 	routerMailboxSize   = 4 * maxRequestsInFlight
-	// targetsTimeout is how long Endpoints waits for a busy router.
+	// targetsTimeout is the time for which Endpoints waits for a busy router.
 	targetsTimeout = 300 * time.Millisecond
-	// unarmed is the first period of a timer that is reset before anything depends on it.
+	// unarmed is the initial period of timers that are reset before their first use.
 	unarmed = time.Hour
 )
 
-// Router is the goroutine around the balancer: it turns calls from clients, hosts and the endpoint list into calls on
-// the balancer, and the balancer's decisions into calls on them. Other goroutines reach it through its mailbox; its
-// exported methods may be called from any goroutine, but for those that are to be called before Run.
+// Router is the goroutine that owns the balancer. It translates calls from clients, hosts and the endpoint list into
+// calls of the balancer, and the balancer's decisions into calls of clients, hosts and the endpoint list. Other
+// goroutines post to its mailbox. Exported methods may be called from any goroutine, except for those that must be
+// called before Run.
 type Router struct {
 	mailbox  mailbox
 	balancer *balancer.Balancer
@@ -35,27 +37,27 @@
 	log      *zap.Logger
 
 	wakeTimer  *time.Timer
-	wakeAt     balancer.Time // when the balancer's timer fires; 0: it has asked for none
-	shutdownAt balancer.Time // when the process ends; 0: not known
+	wakeAt     balancer.Time // time at which the balancer's timer fires; 0: no timer is set
+	shutdownAt balancer.Time // time at which the process ends; 0: not known
 
-	slots     []requestSlot // as many as there ever were requests at once
+	slots     []requestSlot // grows to the maximum number of concurrent requests
 	freeSlots []int
 	openIDs   map[string]struct{} // ids of the requests that have a slot
 
-	hosts         []*upstreamHost // by the balancer's index; nil where that is free
+	hosts         []*upstreamHost // by the balancer's index; nil if the index is free
 	freeHosts     []int           // indices of nil hosts
-	hostIndex     map[string]int  // by name
-	departedHosts []*upstreamHost // hold their index until no request can have been sent there; some may be listed again
-	updates       int             // of the endpoint list
+	hostIndex     map[string]int  // index by name
+	departedHosts []*upstreamHost // keep their index until no request can refer to it; some may be listed again
+	updates       int             // number of updates of the endpoint list
 
-	dialer       dialer // of upstream connections
+	dialer       dialer // for upstream connections
 	sockets      *budget
-	valueMemory  *budget // bytes of values that are held
-	streamMemory *budget // bytes of streams' buffers
+	valueMemory  *budget // bytes of held values
+	streamMemory *budget // bytes of stream buffers
 
 	traceLimiter *rate.Limiter
 
-	// Parts that may be missing.
+	// Optional parts; nil if absent.
 	endpoints     *EndpointList
 	shadow        *shadowBalancer
 	zones         *zoneController
@@ -64,13 +66,13 @@
 	notifyPeers   func(node string, answers bool)
 }
 
-// dialer opens connections, as net.Dialer does.
+// dialer opens connections. It is implemented by net.Dialer.
 type dialer interface {
 	DialContext(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// NewRouter returns a router that knows no hosts. sockets is how many connections it may have open to them at once;
-// seed is that of the balancer's random numbers.
+// NewRouter returns a router without hosts. sockets is the maximum number of open connections to all hosts together;
+// seed is the seed of the balancer's random numbers.
 func NewRouter(
 	config *settings.Settings, seed uint64, clock Clock, sockets int, counters *Counters, log *zap.Logger,
 ) *Router {
@@ -84,7 +86,7 @@
 	}
 }
 
-// Run carries out calls for as long as the process lives.
+// Run executes posted calls and timers until the process ends.
 func (r *Router) Run() {
 	for {
 		select {
@@ -100,13 +102,13 @@
 	}
 }
 
-// balancerCall is a call on a balancer, which returns its decisions.
+// balancerCall calls a method of a balancer and returns its decisions.
 type balancerCall func(b *balancer.Balancer) []balancer.Decision
 
-// apply puts a call to the balancer and executes its decisions.
+// apply runs a call on the balancer and executes its decisions.
 func (r *Router) apply(now balancer.Time, call balancerCall) { r.execute(r.decide(now, call)) }
 
-// Endpoints returns the endpoint list as the balancer has it, or nil if the router is too busy to answer in time.
+// Endpoints returns the endpoint list as the balancer has it, or nil if the router is too busy to respond in time.
 func (r *Router) Endpoints() []wire.Endpoint {
 	reply := make(chan []wire.Endpoint, 1)
 	if !r.mailbox.tryPost(func() { reply <- r.listedTargets() }) {
@@ -120,8 +122,8 @@
 	}
 }
 
-// FinishWithin tells the router that the process ends after a time: all requests that are held or still come are answered
-// before.
+// FinishWithin sets the time that is left until the process ends. All held and later requests get their replies before
+// then.
 func (r *Router) FinishWithin(left time.Duration) {
 	shutdownAt := r.clock.Now() + balancer.Time(left/tickDuration)
 	r.mailbox.post(func() {
@@ -131,7 +133,8 @@
 	})
 }
 
-// ResizeSockets changes how many connections there may be to hosts, by a difference. Idle ones are closed if it is negative.
+// ResizeSockets changes the maximum number of connections to hosts by a difference. If the difference is negative, idle
+// connections are closed.
 func (r *Router) ResizeSockets(by int) {
 	r.sockets.resize(by)
 	if by < 0 {
@@ -139,11 +142,11 @@
 	}
 }
 
-// SetPeerNotifier sets the function that tells other proxies whether a host answers, which must not wait. It is to be called
-// before Run.
+// SetPeerNotifier sets the function that reports to other proxies whether a host responds. The function must not block.
+// SetPeerNotifier must be called before Run.
 func (r *Router) SetPeerNotifier(notify func(node string, answers bool)) { r.notifyPeers = notify }
 
-// ReceivePeerReport takes what another proxy reports of a host.
+// ReceivePeerReport handles another proxy's report on whether a host responds.
 func (r *Router) ReceivePeerReport(node string, answers bool) {
 	r.mailbox.post(func() {
 		index, ok := r.hostIndex[node]
@@ -156,7 +159,7 @@
 	})
 }
 
-// SetQuotaShare sets this proxy's share, from 0 to 1, of the quotas that all proxies have together.
+// SetQuotaShare sets this proxy's fraction, from 0 to 1, of the quotas of all proxies together.
 func (r *Router) SetQuotaShare(share float64) {
 	r.mailbox.post(func() {
 		now := r.clock.Now()
@@ -164,13 +167,13 @@
 	})
 }
 
-// pollFailed takes note that an endpoint list that the balancer has asked for does not come.
+// pollFailed reports to the balancer that a poll of the endpoint list has failed.
 func (r *Router) pollFailed() {
 	now := r.clock.Now()
 	r.apply(now, func(b *balancer.Balancer) []balancer.Decision { return b.EndpointListFailed(now) })
 }
 
-// closeIdleConns closes the idle connections to all hosts, when one lacks a socket.
+// closeIdleConns closes the idle connections to all hosts, when an attempt lacks a socket or there are fewer sockets.
 func (r *Router) closeIdleConns() {
 	for _, h := range r.hosts {
 		if h != nil {
