--- a/internal/proxy/shadow.go
+++ b/internal/proxy/shadow.go
@@ -7,23 +7,24 @@
 	"woodproxy/internal/settings"
 )
 
-// wakeMergeWindow is how near two wake-ups count as one, in the balancer's time: their timers are set one after the
-// other.
+// wakeMergeWindow is the time, in the balancer's ticks, within which the timers of the balancer and its shadow count as
+// one: they are set one after the other.
 const wakeMergeWindow = balancer.Time(10)
 
-// shadowBalancer asks a second balancer, under other settings, what it would decide on all that comes to the first,
-// counts by kind where it would decide otherwise, and then tells it what was done. None of its decisions is carried
-// out. A request is compared until the first difference: the shadow only learns what comes of it after that, so that
-// one difference is counted once.
+// shadowBalancer runs a second balancer with other settings on the same calls, counts by kind the decisions that differ,
+// and then updates the second balancer with the actual decisions. None of its own decisions is carried out. A request is
+// compared until the first difference, so that one difference is counted once: from then on the shadow only records
+// the request's actual attempts.
 type shadowBalancer struct {
 	balancer *balancer.Balancer
-	wakeAt   balancer.Time // when it wants to be woken; 0: not at all
+	wakeAt   balancer.Time // time at which the shadow's timer is due; 0: no timer is set
 	timer    *time.Timer
-	actual   map[int]*balancer.Decision // by request slot, of the call that is being compared
+	actual   map[int]*balancer.Decision // the balancer's decisions in the current call, by request slot
 	counters *Counters
 }
 
-// EnableShadow has the balancer's decisions compared with those under other settings. It is to be called before Run.
+// EnableShadow starts the comparison of the balancer's decisions with those under other settings. It must be called
+// before Run.
 func (r *Router) EnableShadow(config *settings.Settings, seed uint64) {
 	r.shadow = &shadowBalancer{
 		balancer: balancer.New(r.clock.Now(), config.Balancer, seed), timer: time.NewTimer(unarmed),
@@ -31,14 +32,14 @@
 	}
 }
 
-// decide puts a call to the balancer and, if there is one, to its shadow.
+// decide runs a call on the balancer and, if there is one, on its shadow. It returns the balancer's decisions.
 func (r *Router) decide(now balancer.Time, call balancerCall) []balancer.Decision {
 	decisions := call(r.balancer)
 	r.withShadow(func(s *shadowBalancer) { s.compare(now, decisions, call(s.balancer)) })
 	return decisions
 }
 
-// withShadow keeps a panic in the shadow from the proxy's own work: the shadow ends by it.
+// withShadow runs a call on the shadow, if there is one. A panic in the call disables the shadow and nothing else.
 func (r *Router) withShadow(call func(s *shadowBalancer)) {
 	if r.shadow == nil {
 		return
@@ -49,7 +50,7 @@
 	}
 }
 
-// timerFired carries out the wake-up that the balancer has asked for; its shadow has times of its own.
+// timerFired handles the balancer's timer. The shadow has a timer of its own, which is handled as well if it is due.
 func (r *Router) timerFired() {
 	now := r.clock.Now()
 	r.wakeAt = 0
@@ -58,15 +59,15 @@
 	r.execute(decisions)
 }
 
-// shadowTimerFired wakes the shadow, unless the balancer is about to be woken itself: both are then asked at one time,
-// or what they agree on would look like a difference.
+// shadowTimerFired handles the shadow's timer, unless the balancer's timer is about to fire: both are then handled at
+// the same time, since equal decisions would otherwise look like a difference.
 func (r *Router) shadowTimerFired() {
 	if now := r.clock.Now(); r.wakeAt == 0 || now+wakeMergeWindow < r.wakeAt {
 		r.withShadow(func(s *shadowBalancer) { s.timerFired(now, nil) })
 	}
 }
 
-// shadowTimer returns the channel of the shadow's wake-ups; nil where there is no shadow.
+// shadowTimer returns the channel of the shadow's timer, or nil if there is no shadow.
 func (r *Router) shadowTimer() <-chan time.Time {
 	if r.shadow == nil {
 		return nil
@@ -74,7 +75,7 @@
 	return r.shadow.timer.C
 }
 
-// timerFired wakes the shadow if its time has come, and compares what it would do with what the balancer did.
+// timerFired handles the shadow's timer if it is due, and compares the decisions with the balancer's.
 func (s *shadowBalancer) timerFired(now balancer.Time, actual []balancer.Decision) {
 	var would []balancer.Decision
 	if s.wakeAt != 0 && now >= s.wakeAt {
@@ -84,7 +85,8 @@
 	s.compare(now, actual, would)
 }
 
-// compare counts what the balancer did against what its shadow would have done, and sets the shadow right.
+// compare counts equal and different decisions of the balancer and its shadow, and updates the shadow with the actual
+// ones.
 func (s *shadowBalancer) compare(now balancer.Time, actual, would []balancer.Decision) {
 	for i := range actual {
 		if isFinalReply(actual[i]) || actual[i].Action == balancer.Send {
@@ -103,7 +105,7 @@
 			delete(s.actual, d.Request)
 		}
 	}
-	for i := range actual { // in their order, which the map does not have
+	for i := range actual { // in the order of the decisions, unlike the map
 		if d := s.actual[actual[i].Request]; d != nil {
 			delete(s.actual, d.Request)
 			s.learn(now, d)
@@ -111,7 +113,7 @@
 	}
 }
 
-// learn tells the shadow what the balancer did where the shadow would have done nothing.
+// learn updates the shadow with a decision of the balancer for which the shadow has no decision of its own.
 func (s *shadowBalancer) learn(now balancer.Time, actual *balancer.Decision) {
 	if s.balancer.Decides(actual.Request) {
 		s.compareRequest(now, nil, actual)
@@ -120,8 +122,8 @@
 	}
 }
 
-// compareRequest compares the decisions on one request; nil means that it is left waiting. At a difference the shadow
-// gives the request up, and only learns of it from then on.
+// compareRequest compares the decisions on one request; nil means that the request is left waiting. At a difference the
+// shadow releases the request, and from then on only records its actual attempts.
 func (s *shadowBalancer) compareRequest(now balancer.Time, would, actual *balancer.Decision) {
 	if would != nil && actual != nil && sameDecision(would, actual) {
 		s.counters.WatchSame.Add(1)
@@ -149,7 +151,7 @@
 	return would.Action == actual.Action && (isFinalReply(*actual) || would.Endpoint == actual.Endpoint)
 }
 
-// countDifference counts two different decisions on a request by kind; at most one of them is nil.
+// countDifference counts the difference between two decisions on a request by kind. At most one of them is nil.
 func (s *shadowBalancer) countDifference(would, actual *balancer.Decision) {
 	actualEnds := actual != nil && isFinalReply(*actual)
 	wouldEnd := would != nil && isFinalReply(*would)
