--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -13,9 +13,9 @@
 const (
 	chunkBytes           = 16 << 10
 	chunksPerStream      = 2
-	streamBufferBytes    = chunksPerStream * chunkBytes // memory that a stream holds
-	stallTimeout         = 6 * time.Second              // for an upstream that has begun a value to send more of it
-	capacityPollInterval = 10 * time.Millisecond        // between checks for capacity, where there is none
+	streamBufferBytes    = chunksPerStream * chunkBytes // memory of a stream's buffers
+	stallTimeout         = 6 * time.Second              // maximum time without input from an upstream amid a value
+	capacityPollInterval = 10 * time.Millisecond        // interval between checks for stream memory
 )
 
 var (
@@ -24,15 +24,15 @@
 	errStreamMemory    = errors.New("no stream memory in time")
 )
 
-// stream is a value on its way from an upstream connection to a client connection. Two chunks go to and fro between
-// their goroutines, so that the slower one sets the pace, and no more is read than the client accepts.
+// stream passes a value from an upstream connection to a client connection. The goroutines of the two exchange two
+// chunks, so that the slower one sets the pace and the proxy does not read more than the client accepts.
 type stream struct {
-	length    int           // of the value, in bytes
-	filled    chan []byte   // closed by the reading side at its end
-	empty     chan []byte   // chunks that can be filled again
-	abandoned chan struct{} // closed when the client takes no more
-	once      sync.Once     // closes abandoned
-	err       error         // why the reading ended early; set before filled is closed
+	length    int           // length of the value in bytes
+	filled    chan []byte   // closed by the upstream connection at the end
+	empty     chan []byte   // chunks to be filled again
+	abandoned chan struct{} // closed when the client accepts no more
+	once      sync.Once     // guards the closing of abandoned
+	err       error         // error that ended the reading early; set before filled is closed
 }
 
 func newStream(length int) *stream {
@@ -48,10 +48,10 @@
 	return s
 }
 
-// abandon tells the reading side that the client takes no more. It may be called more than once.
+// abandon signals the upstream connection that the client accepts no more. It may be called more than once.
 func (s *stream) abandon() { s.once.Do(func() { close(s.abandoned) }) }
 
-// nextEmpty waits for a chunk that can be filled.
+// nextEmpty waits for an empty chunk. It fails with errStreamAbandoned if the stream is abandoned.
 func (s *stream) nextEmpty() ([]byte, error) {
 	select {
 	case chunk := <-s.empty:
@@ -61,8 +61,8 @@
 	}
 }
 
-// clientError returns the error that ends the client's connection, or nil if the value is complete. It may be called
-// once filled is closed.
+// clientError returns the error that closes the client's connection, or nil if the value is complete. It may only be
+// called once filled is closed.
 func (s *stream) clientError() error {
 	if s.err != nil {
 		return errStreamBroken
@@ -70,19 +70,19 @@
 	return nil
 }
 
-// streamValue passes a value on to the client in chunks. For the balancer the attempt completes with the first chunk,
-// and there is no retry after it: a value that breaks off later ends the client's connection. The last byte is held
-// back until the upstream has ended the value as the protocol asks, so that a wrong length is seen by the client too.
+// streamValue streams a value to the client. For the balancer the attempt completes with the first byte, after which
+// there is no retry: a value that breaks off later closes the client's connection. The last byte is held back until the
+// upstream has ended the value according to the protocol, so that the client detects a wrong length as well.
 func (u *upstreamConn) streamValue(attempt *attempt, answer *wire.Response, until time.Time) error {
 	router := u.host.router
-	for !router.streamMemory.tryAcquire(streamBufferBytes) { // meanwhile the answer stays in the socket
+	for !router.streamMemory.tryAcquire(streamBufferBytes) { // meanwhile the value stays in the socket
 		if attempt.cancelled.Load() || time.Now().After(until) {
 			return &wire.AttemptError{Progress: wire.Reading, Err: errStreamMemory}
 		}
 		time.Sleep(capacityPollInterval)
 	}
 	defer router.streamMemory.release(streamBufferBytes)
-	if _, err := u.reader.Peek(1); err != nil { // until here the request can be retried
+	if _, err := u.reader.Peek(1); err != nil { // up to here the request can be retried
 		return &wire.AttemptError{Progress: wire.Reading, Err: err}
 	}
 	s := newStream(answer.ValueLength)
@@ -93,7 +93,7 @@
 	return s.err
 }
 
-// readChunks reads the value into the stream.
+// readChunks reads a value into the stream. It returns an error if the value breaks off or the stream is abandoned.
 func (u *upstreamConn) readChunks(s *stream, answer *wire.Response) error {
 	for left := answer.ValueLength; left > 0; {
 		chunk, err := s.nextEmpty()
@@ -106,12 +106,12 @@
 		if left -= len(chunk); left == 0 {
 			return u.finishStream(s, answer, chunk)
 		}
-		s.filled <- chunk // never blocks: there are no more chunks than it has room for
+		s.filled <- chunk // never blocks: the channel has the capacity for all chunks
 	}
 	return nil
 }
 
-// readChunk reads at most left bytes of the value into an empty chunk, and leaves room for the line end.
+// readChunk reads at most left bytes of the value into an empty chunk, and leaves space for the line end.
 func (u *upstreamConn) readChunk(chunk []byte, left int) ([]byte, error) {
 	if err := u.conn.SetReadDeadline(time.Now().Add(stallTimeout)); err != nil {
 		return nil, err
@@ -123,7 +123,8 @@
 	return chunk[:n], err
 }
 
-// finishStream passes on the last chunk: all but its last byte at once, and that once the value has ended as it should.
+// finishStream passes the last chunk to the client: all but its last byte at once, and the last byte with the line end
+// once the upstream has ended the value correctly.
 func (u *upstreamConn) finishStream(s *stream, answer *wire.Response, chunk []byte) error {
 	if n := len(chunk); n > 1 {
 		s.filled <- chunk[:n-1]
