--- a/internal/proxy/upstream_conn.go
+++ b/internal/proxy/upstream_conn.go
@@ -17,34 +17,35 @@
 )
 
 const (
-	// nonOwnerIdleTimeout is how long a connection may be idle where other proxies have the duty to keep theirs.
+	// nonOwnerIdleTimeout is the idle timeout of connections to a host for which other proxies have the duty to keep
+	// idle connections.
 	nonOwnerIdleTimeout = time.Second
-	upstreamReadBuffer  = 4 << 10 // bytes, of a response that are read at once
+	upstreamReadBuffer  = 4 << 10 // size in bytes of the buffer for responses
 )
 
-// upstreamConn is one connection to a host and its goroutine, which alone reads and writes there. The goroutine ends by
-// a call of the host's connClosed.
+// upstreamConn is one connection to a host and its goroutine, which is the only one to read from and write to the
+// connection. The goroutine ends with a call to the host's connClosed.
 type upstreamConn struct {
 	host    *upstreamHost
 	addr    string
 	reader  *bufio.Reader
-	header  []byte      // reused from request to request
-	buffers net.Buffers // reused too
-	toldMS  int         // how long the upstream was told that the attempt waits, in milliseconds
-	// writeReserve is for how long the request's writing is expected to take: what was told is so much less than what
-	// was left.
+	header  []byte      // reused for each request
+	buffers net.Buffers // reused for each request
+	toldMS  int         // wait in milliseconds that was sent to the upstream with the attempt
+	// writeReserve is the part of the attempt's remaining time that is reserved for writing the request. The wait that
+	// is sent to the upstream is shorter than the remaining time by this reserve.
 	writeReserve time.Duration
 
-	mu            sync.Mutex // guards what follows, by which other goroutines interrupt this one
+	mu            sync.Mutex // guards the fields below, by which other goroutines interrupt this one
 	conn          net.Conn
-	cancelDial    context.CancelFunc // while it is dialed
-	assigned      *attempt           // to be carried next
-	writing       *attempt           // that is being written
+	cancelDial    context.CancelFunc // set while the connection is dialed
+	assigned      *attempt           // next attempt of the connection
+	writing       *attempt           // attempt that is being written
 	closeWhenIdle bool
 }
 
-// assign hands an attempt to an idle connection. Both steps are under one lock, or a late interruption would hit the
-// attempt.
+// assign assigns an attempt to an idle connection. Both steps are done under one lock; otherwise a late interruption
+// could hit the attempt.
 func (u *upstreamConn) assign(attempt *attempt) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -52,8 +53,8 @@
 	_ = u.conn.SetReadDeadline(pastDeadline) // fails only on a closed connection, after which connClosed takes the attempt
 }
 
-// interrupt ends whatever the connection's goroutine waits for, which then looks for its reason. An idle one that was
-// assigned nothing closes.
+// interrupt ends any dial, read or write that the connection's goroutine waits for. The goroutine then checks for the
+// reason. An idle connection without an assigned attempt closes.
 func (u *upstreamConn) interrupt() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -73,8 +74,8 @@
 	u.interrupt()
 }
 
-// abandonWrite stops the writing of an attempt whose request is finished: no upstream begins a command that does not
-// arrive whole.
+// abandonWrite stops the writing of an attempt whose request is finished. An upstream does not execute a command that
+// does not arrive completely.
 func (u *upstreamConn) abandonWrite(attempt *attempt) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// takeAssigned returns the attempt that was assigned and not begun, or nil.
+// takeAssigned removes and returns the attempt that was assigned but not begun, or nil.
 func (u *upstreamConn) takeAssigned() *attempt {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -92,7 +93,7 @@
 	return next
 }
 
-// run carries attempts, beginning with the given one, until the connection ends.
+// run executes attempts, beginning with the given one, until the connection ends.
 func (u *upstreamConn) run(first *attempt) {
 	for next := first; next != nil && u.carry(next); {
 		next = u.awaitAttempt()
@@ -101,14 +102,15 @@
 	u.host.post(func() { u.host.connClosed(u) })
 }
 
-// probe opens the connection, reports whether that succeeded, and keeps it for attempts to come.
+// probe opens the connection, reports to the zone health whether that succeeded, and keeps the connection for later
+// attempts.
 func (u *upstreamConn) probe() {
 	h, router := u.host, u.host.router
-	err := error(&wire.AttemptError{}) // stands after a panic
+	err := error(&wire.AttemptError{}) // the result if the call panics
 	runRecovered(h.router.log, router.counters, func() {
 		err = u.dial(&attempt{}, time.Now().Add(duration(router.zones.latencyLimit)))
 	})
-	if !isLocalError(err) { // which says nothing of the server
+	if !isLocalError(err) { // a local error is no evidence about the server
 		router.mailbox.post(func() { router.zoneConnectFinished(h.index, err == nil) })
 	}
 	if err != nil {
@@ -119,16 +121,16 @@
 	u.run(u.awaitAttempt())
 }
 
-// carry sees an attempt through, reports its end to the host, and returns whether the connection can carry another.
+// carry executes an attempt and reports its result to the host. It returns whether the connection can be reused.
 func (u *upstreamConn) carry(attempt *attempt) bool {
 	h := u.host
-	result := roundTripResult{attemptResult: attemptResult{outcome: balancer.Reset}} // stands after a panic
+	result := roundTripResult{attemptResult: attemptResult{outcome: balancer.Reset}} // the result if the call panics
 	runRecovered(h.router.log, h.router.counters, func() { result = u.roundTrip(attempt) })
 	if errors.Is(result.err, wire.ErrProtocol) {
 		u.reportBadBytes(result.err)
 	}
 	if result.err != nil && attempt.streaming && !errors.Is(result.err, errStreamAbandoned) {
-		h.router.counters.Broken.Add(1) // the client's connection ends amid the value
+		h.router.counters.Broken.Add(1) // the client's connection is closed amid the value
 		h.log().Warn("streamed value broke off", zap.Error(result.err))
 	}
 	if !result.reusable {
@@ -141,17 +143,17 @@
 // closeConn closes the connection, if it was ever open.
 func (u *upstreamConn) closeConn() {
 	if u.conn != nil {
-		_ = u.conn.Close() // nothing is lost by a failure: the attempt's outcome stands, and nothing more is written
+		_ = u.conn.Close() // a failure loses nothing: the attempt has its outcome, and nothing more is written
 	}
 }
 
-// reportBadBytes counts and logs why a connection is closed.
+// reportBadBytes counts and logs that the connection is closed because of invalid input.
 func (u *upstreamConn) reportBadBytes(err error) {
 	u.host.router.counters.BadPeer.Add(1)
 	u.host.log().Warn("upstream connection closed on bad input", zap.Error(err))
 }
 
-// awaitAttempt waits for an attempt to be assigned; nil means that the connection is to end.
+// awaitAttempt waits until an attempt is assigned and returns it. It returns nil if the connection must be closed.
 func (u *upstreamConn) awaitAttempt() *attempt {
 	if next, ready := u.beginIdle(); ready {
 		return next
@@ -161,13 +163,13 @@
 		return u.takeAssigned()
 	}
 	if len(unexpected) > 0 {
-		u.reportBadBytes(fmt.Errorf("%w: unasked for: %q", wire.ErrProtocol, unexpected))
+		u.reportBadBytes(fmt.Errorf("%w: unexpected input: %q", wire.ErrProtocol, unexpected))
 	}
-	return nil // or the upstream has closed it
+	return nil // unexpected input, or the upstream has closed the connection
 }
 
-// beginIdle sets the deadline by which an idle connection ends. It returns ready if nothing is to be waited for: with
-// the attempt that is assigned already, or with nil if the connection is to close.
+// beginIdle sets the deadline at which the idle connection closes. It returns ready if there is nothing to wait for:
+// next is then the attempt that is already assigned, or nil if the connection must be closed.
 func (u *upstreamConn) beginIdle() (next *attempt, ready bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -175,18 +177,18 @@
 		u.assigned = nil
 		return next, true
 	}
-	if u.closeWhenIdle { // interrupted before, which a deadline that is set now would undo
+	if u.closeWhenIdle { // a new deadline would undo the interruption by close
 		return nil, true
 	}
-	var deadline time.Time // zero: the upstream closes idle connections, and does not tell when
+	var deadline time.Time // zero: none; the upstream closes idle connections after an unknown time
 	if timeout := u.idleTimeout(); timeout > 0 {
 		deadline = time.Now().Add(timeout)
 	}
 	return nil, u.conn.SetReadDeadline(deadline) != nil
 }
 
-// idleTimeout returns how long the connection may be idle; 0 means without limit. It is well below the time after which
-// the upstream closes it, so that no request crosses the close.
+// idleTimeout returns the connection's idle timeout; 0 means no limit. It is well below the idle timeout of the
+// upstream, so that no request is sent while the upstream closes the connection.
 func (u *upstreamConn) idleTimeout() time.Duration {
 	timeout := duration(u.host.router.settings.ServerIdleTimeout * 2 / 3)
 	leftToOthers := u.host.router.duties != nil && u.host.closeIdleSoon.Load()
--- a/internal/proxy/upstream_roundtrip.go
+++ b/internal/proxy/upstream_roundtrip.go
@@ -14,14 +14,14 @@
 	"woodproxy/internal/wire"
 )
 
-// roundTripResult is how an attempt ended on a connection.
+// roundTripResult is the result of an attempt on a connection.
 type roundTripResult struct {
 	attemptResult
 	reusable bool  // the connection can carry another attempt
-	err      error // why the attempt has no whole response, or nil
+	err      error // error that prevented a complete response, or nil
 }
 
-// roundTrip sees one attempt through: it connects if need be, writes the request and reads the response.
+// roundTrip executes one attempt: it connects if necessary, writes the request and reads the response.
 func (u *upstreamConn) roundTrip(attempt *attempt) roundTripResult {
 	router := u.host.router
 	until := time.Now().Add(duration(attempt.sentAt + attempt.timeout - router.clock.Now()))
@@ -34,7 +34,7 @@
 	if err := u.conn.SetDeadline(until); err != nil {
 		return u.failure(attempt, &wire.AttemptError{Progress: wire.Writing, Err: err})
 	}
-	if reused && !u.mayReuse() { // nothing was sent yet
+	if reused && !u.mayReuse() { // nothing of the attempt has been sent yet
 		u.discardConn()
 		return u.roundTrip(attempt)
 	}
@@ -44,7 +44,7 @@
 	}
 	if refusal, err := u.writeRequest(attempt, until); !refusal.Permitted() {
 		u.host.router.counters.Refusals[refusal].Add(1)
-		return notSent(false) // a part of it was written, which no upstream begins
+		return notSent(false) // upstreams do not execute a partly written request
 	} else if err != nil {
 		if attempt.request.life.Finished() {
 			return notSent(false)
@@ -55,7 +55,7 @@
 	return u.readResponse(attempt, until)
 }
 
-// conditions returns what decides whether an attempt may be written now.
+// conditions returns the conditions that determine whether an attempt may be written now.
 func (u *upstreamConn) conditions(attempt *attempt, until time.Time) lifecycle.AttemptConditions {
 	return lifecycle.AttemptConditions{
 		Request: attempt.request.life.State(), Cancelled: attempt.cancelled.Load(), EndpointReady: u.host.ready.Load(),
@@ -63,7 +63,7 @@
 	}
 }
 
-// dedupWindowEnd returns until when an attempt may begin, the zero time if it is the first that may run.
+// dedupWindowEnd returns the time until which an attempt may begin, or the zero time if it has no such limit.
 func (r *Router) dedupWindowEnd(attempt *attempt) time.Time {
 	if attempt.startBefore == 0 {
 		return time.Time{}
@@ -71,8 +71,8 @@
 	return r.clock.Instant(attempt.startBefore)
 }
 
-// refused returns the result of an attempt that was not begun. The next attempt may have the connection, unless it was
-// interrupted or its host takes no more.
+// refused returns the result of an attempt that was not begun. The connection can be reused unless it was interrupted by
+// a cancellation or its host accepts no more requests.
 func (u *upstreamConn) refused(refusal lifecycle.Refusal) roundTripResult {
 	u.host.router.counters.Refusals[refusal].Add(1)
 	switch refusal {
@@ -88,7 +88,7 @@
 	return roundTripResult{attemptResult: attemptResult{outcome: balancer.NotSent}, reusable: reusable}
 }
 
-// checkStarted has the invariants checked of an attempt that was written whole.
+// checkStarted checks the invariants for an attempt that was written completely.
 func (u *upstreamConn) checkStarted(attempt *attempt) {
 	router := u.host.router
 	checker := router.counters.Invariants
@@ -111,14 +111,14 @@
 	switch {
 	case attempt.cancelled.Load():
 		outcome = balancer.Cancelled
-	case isLocalError(err): // which says nothing of the server
+	case isLocalError(err): // a local error is no evidence about the server
 		outcome = balancer.NotSent
 	}
 	return roundTripResult{attemptResult: attemptResult{outcome: outcome}, err: err}
 }
 
-// failure returns the result of an attempt that ended without a whole response: what it means depends on how far the
-// attempt had come.
+// failure returns the result of an attempt that ended without a complete response. The outcome depends on the progress
+// of the attempt.
 func (u *upstreamConn) failure(attempt *attempt, err error) roundTripResult {
 	var halt *wire.AttemptError
 	mayHaveRun := errors.As(err, &halt) && halt.MayHaveRun()
@@ -136,7 +136,7 @@
 	return roundTripResult{attemptResult: attemptResult{outcome: outcome}, err: err}
 }
 
-// connect dials, and reports to the zone controller that a cache accepts connections.
+// connect opens the connection and, for a cache, reports the success to the zone controller.
 func (u *upstreamConn) connect(attempt *attempt, until time.Time) error {
 	if err := u.dialWithRetry(attempt, until); err != nil {
 		return err
@@ -147,14 +147,14 @@
 	return nil
 }
 
-// dial opens the connection, unless the attempt is cancelled or the time is up before.
+// dial opens the connection. It fails if the attempt is canceled or until passes first.
 func (u *upstreamConn) dial(attempt *attempt, until time.Time) error {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	u.mu.Lock()
 	u.cancelDial = cancel
 	u.mu.Unlock()
-	if attempt.cancelled.Load() { // before there was a dial to cancel
+	if attempt.cancelled.Load() { // the attempt was canceled before cancelDial was set
 		cancel()
 	}
 	conn, err := u.host.router.dialer.DialContext(ctx, "tcp", u.addr)
@@ -169,9 +169,9 @@
 	return nil
 }
 
-// mayReuse reports whether a connection that carries no request may carry another: there is nothing to read on it, and
-// it has not ended. Bytes behind a good response may arrive once the next attempt is assigned, whose deadline hides them
-// from awaitAttempt.
+// mayReuse reports whether a connection without a request in progress may carry another: there is no input to read, and
+// the peer has not closed it. Bytes after a complete response may arrive once the next attempt is assigned; awaitAttempt
+// misses them, since the assignment sets a past deadline.
 func (u *upstreamConn) mayReuse() bool {
 	input := peekState(u.conn)
 	conditions := lifecycle.UpstreamConnConditions{
@@ -179,7 +179,7 @@
 	}
 	refusal := conditions.MayReuse()
 	if refusal == lifecycle.UnexpectedInput {
-		u.reportBadBytes(fmt.Errorf("%w: unasked for", wire.ErrProtocol))
+		u.reportBadBytes(fmt.Errorf("%w: unexpected input", wire.ErrProtocol))
 	}
 	return refusal.Permitted()
 }
@@ -192,8 +192,8 @@
 	u.conn = nil
 }
 
-// encodeRequest sets the buffers that are to be written for an attempt. Caches and the origin alike are told how long
-// this attempt waits, and not what the client has said at first.
+// encodeRequest sets the buffers to be written for an attempt. Both caches and the origin receive the wait of this
+// attempt, rather than the wait that the client originally sent.
 func (u *upstreamConn) encodeRequest(attempt *attempt) {
 	req, h := attempt.request, u.host
 	size := -1 // no value
@@ -218,7 +218,7 @@
 	}
 }
 
-// readResponse reads the response to an attempt that was written.
+// readResponse reads the response to an attempt that was written completely.
 func (u *upstreamConn) readResponse(attempt *attempt, until time.Time) roundTripResult {
 	read := wire.ReadCacheResponse
 	if u.host.isOrigin {
@@ -241,15 +241,15 @@
 			return u.failure(attempt, err)
 		}
 	}
-	if n := u.reader.Buffered(); answer.Reusable && n > 0 { // it would pass for the response to the next request
-		u.reportBadBytes(fmt.Errorf("%w: %d unasked for", wire.ErrProtocol, n))
+	if n := u.reader.Buffered(); answer.Reusable && n > 0 { // the extra bytes would be taken for the next response
+		u.reportBadBytes(fmt.Errorf("%w: %d unexpected bytes", wire.ErrProtocol, n))
 		answer.Reusable = false
 	}
 	return roundTripResult{attemptResult: attemptResult{outcome: answer.Outcome, value: value}, reusable: answer.Reusable}
 }
 
-// readValue reads the value of a completed attempt: whole if it is short and there is memory for it. Else the value is
-// streamed; the request is answered by that, and nil is returned.
+// readValue reads the value of a completed attempt. It returns the complete value if it is already buffered, or if it is
+// short and there is value memory for it. Otherwise it streams the value as the reply to the client, and returns nil.
 func (u *upstreamConn) readValue(attempt *attempt, answer *wire.Response, until time.Time) ([]byte, error) {
 	memory := u.host.router.valueMemory
 	_, alreadyRead := answer.BufferedValue()
--- a/internal/proxy/upstream_write.go
+++ b/internal/proxy/upstream_write.go
@@ -10,19 +10,22 @@
 )
 
 const (
-	// heldBackFrom is the size of a request, in bytes, from which on its end is held back: smaller ones are written at
-	// once or not at all, since the socket takes them.
+	// heldBackFrom is the minimum size in bytes of a request whose end is held back. Smaller requests fit into the
+	// socket buffer, so that they are written either at once or not at all.
 	heldBackFrom = 64 << 10
-	heldBack     = 2 // bytes
-	// expectedWriteRate is how fast long values are taken, in bytes a second, unless it has shown that they are not.
+	heldBack     = 2 // bytes held back
+	// expectedWriteRate is the rate in bytes per second at which an upstream is expected to accept a long value, until a
+	// slower rate has been measured.
 	expectedWriteRate = 512 << 10
-	// Parts of what is left that are reserved for the writing at most: by what is expected, and by what was seen.
+	// maxExpectedPart is the maximum fraction of the remaining time that is reserved for the expected writing time, and
+	// maxReservePart the maximum fraction that is reserved in all, measured writing times included.
 	maxExpectedPart = 1.0 / 3
 	maxReservePart  = 2.0 / 3
 )
 
-// writeReserve is for how long the writing of an attempt may take, beyond lifecycle.MaxWriteDelay, when so much is left
-// of its time. Upstreams are told so much less: they begin a request as its last byte comes, and count from then.
+// writeReserve returns the time that is reserved for writing an attempt of size bytes with the given remaining time.
+// Writing may exceed the reserve by lifecycle.MaxWriteDelay. The wait that is sent to the upstream is shorter by the
+// reserve: an upstream begins a request when its last byte arrives, and counts the wait from then.
 func (r *request) writeReserve(left time.Duration, size int) time.Duration {
 	if size < heldBackFrom {
 		return 0
@@ -32,9 +35,10 @@
 	return min(max(expected, seen), time.Duration(float64(left)*maxReservePart))
 }
 
-// writeRequest writes a request, its header and value gathered into one write. The end of a long one is held back until
-// the rest is written, and is written only if the attempt may still begin and its deadline holds: no upstream begins a
-// request that does not arrive whole. A refusal tells that it may not.
+// writeRequest writes a request, with its header and value gathered into one write. The end of a long request is held
+// back until the rest is written, and is written only if the attempt may still begin and the wait sent to the upstream
+// is still valid: an upstream does not begin a request that does not arrive completely. Otherwise writeRequest returns
+// the reason as a refusal.
 func (u *upstreamConn) writeRequest(attempt *attempt, until time.Time) (lifecycle.Refusal, error) {
 	u.encodeRequest(attempt)
 	began := time.Now()
@@ -53,7 +57,7 @@
 	if err != nil {
 		return lifecycle.Permitted, err
 	}
-	buffers := u.buffers // WriteTo consumes the slice that it is called on
+	buffers := u.buffers // a copy, since WriteTo consumes the slice
 	tail := u.holdBack(&buffers)
 	if _, err = buffers.WriteTo(u.conn); err == nil && tail != nil {
 		conditions := u.conditions(attempt, until)
@@ -70,7 +74,7 @@
 	return lifecycle.Permitted, err
 }
 
-// holdBack takes the last bytes off the buffers of a long request and returns them, nil for a short one.
+// holdBack removes the last bytes from the buffers of a long request and returns them. It returns nil for a short one.
 func (u *upstreamConn) holdBack(buffers *net.Buffers) []byte {
 	size := 0
 	for _, b := range *buffers {
@@ -92,7 +96,7 @@
 	u.writing = nil
 }
 
-// noteWriteTime notes for how long an attempt was written that was not begun for that.
+// noteWriteTime records the time spent writing an attempt whose writing was broken off, if it is the longest so far.
 func (r *request) noteWriteTime(took time.Duration) {
 	for {
 		longest := r.writeTime.Load()
