--- a/internal/proxy/upstream_host.go
+++ b/internal/proxy/upstream_host.go
@@ -12,46 +12,47 @@
 )
 
 const (
-	// maxHostCalls is how many calls may wait at a host before it is handed no further attempt.
+	// maxHostCalls is the number of queued calls at which a host is sent no further attempts.
 	maxHostCalls = 3 * maxRequestsInFlight
-	// socketRetryDelay is when attempts that wait for a socket look for one again.
+	// socketRetryDelay is the delay after which attempts that wait for a socket try to acquire one again.
 	socketRetryDelay = 10 * time.Millisecond
 )
 
-// upstreamHost is one cache or origin. Its goroutine, which runs while there is something to do, owns the connections
-// there and hands attempts to them, one at a time each: responses on a connection come in order, so that an attempt
-// behind another would wait for it. A host that nobody sends to is this structure and no more.
+// upstreamHost is one cache or origin. Its goroutine, which runs only while there are calls, owns the connections to the
+// host and assigns attempts to them. Each connection carries one attempt at a time: responses on a connection arrive in
+// order, so an attempt would have to wait for the ones before it. A host that receives no requests costs only this
+// structure.
 type upstreamHost struct {
 	calls  callQueue
 	router *Router
 
-	index    int // the balancer's
+	index    int // the balancer's index of the host
 	name     string
 	isOrigin bool
 
-	// Set by the router's goroutine, and read by any.
+	// Set by the router's goroutine, read by any.
 	addr          atomic.Pointer[string]
-	ready         atomic.Bool  // listed, and not draining
-	notReadySince atomic.Int64 // in nanoseconds of the router's clock; 0: it is ready, or never was
-	closeIdleSoon atomic.Bool  // another proxy has the duty to keep idle connections to it
+	ready         atomic.Bool  // the host is listed and not draining
+	notReadySince atomic.Int64 // in nanoseconds of the router's clock; 0: the host is ready, or never was
+	closeIdleSoon atomic.Bool  // other proxies have the duty to keep idle connections to the host
 
-	// Set by the host's goroutine, and read by any.
-	openConns atomic.Int32 // those that are being dialed included
+	// Set by the host's goroutine, read by any.
+	openConns atomic.Int32 // includes connections that are being dialed
 
-	// Only the router's goroutine looks at these.
-	ejected       bool          // as was last reported to the duties
-	endpoint      wire.Endpoint // as listed; a new host without a start has the time at which it was first seen
-	startedAt     balancer.Time // its latest start by this process's clock; 0: long ago
-	departedAt    balancer.Time // when it left the endpoint list; 0: it is listed
-	inFlight      int           // attempts
-	awaitsRemoval bool          // it is one of the router's departedHosts
-	updatedBy     int           // number of the latest update of the endpoint list that named it
+	// Accessed only by the router's goroutine.
+	ejected       bool          // state last reported to the duties
+	endpoint      wire.Endpoint // as listed; a new host listed without a start time gets the time at which it was first seen
+	startedAt     balancer.Time // latest start on this process's clock; 0: long ago
+	departedAt    balancer.Time // time at which the host left the endpoint list; 0: it is listed
+	inFlight      int           // number of attempts in flight
+	awaitsRemoval bool          // the host is in the router's departedHosts
+	updatedBy     int           // number of the latest update of the endpoint list that contained the host
 
-	// Only the host's goroutine looks at these.
-	stopping       bool            // connections are kept no longer than for the attempt that they carry
-	idleConns      []*upstreamConn // the last one used comes last
-	queue          []*attempt      // wait for a socket
-	retryScheduled bool            // a call of sendQueued is to come
+	// Accessed only by the host's goroutine.
+	stopping       bool            // connections close after the attempt that they carry
+	idleConns      []*upstreamConn // ordered by last use, the most recent one last
+	queue          []*attempt      // attempts that wait for a socket
+	retryScheduled bool            // a call of sendQueued is scheduled
 }
 
 func newUpstreamHost(router *Router, index int, name string, isOrigin bool) *upstreamHost {
@@ -60,41 +61,42 @@
 	return h
 }
 
-// post has the host's goroutine carry out a call. It does not wait, and the call is not lost.
+// post queues a call for the host's goroutine. It does not block, and the call is never dropped.
 func (h *upstreamHost) post(call func()) { h.calls.post(call) }
 
-// tryPost is post, unless many calls wait already: false is returned then.
+// tryPost queues a call unless maxHostCalls calls are queued already. It returns whether the call was queued.
 func (h *upstreamHost) tryPost(call func()) bool { return h.calls.tryPost(call, maxHostCalls) }
 
 func (h *upstreamHost) execute(call func()) {
 	if !runRecovered(h.router.log, h.router.counters, call) {
-		h.log().Error("a call of the upstream host ended by a panic")
+		h.log().Error("upstream host call panicked")
 	}
 }
 
-// log returns the log of what concerns the host.
+// log returns a logger with the host's name.
 func (h *upstreamHost) log() *zap.Logger { return h.router.log.With(zap.String("peer", h.name)) }
 
-// isServing reports whether the host is a cache that is listed and takes requests. The router's goroutine calls it.
+// isServing reports whether the host is a cache that is listed and accepts requests. It must be called on the router's
+// goroutine.
 func (h *upstreamHost) isServing() bool { return !h.isOrigin && h.endpoint.Ready && h.departedAt == 0 }
 
-// releaseIdleConns has the host's goroutine close all idle connections, if there are any connections. Any goroutine may
-// call it.
+// releaseIdleConns makes the host's goroutine close all idle connections, if the host has any connections. Any goroutine
+// may call it.
 func (h *upstreamHost) releaseIdleConns() {
 	if h.openConns.Load() > 0 {
 		h.post(h.closeIdleConns)
 	}
 }
 
-// The host's goroutine runs all that follows.
+// The functions below run on the host's goroutine.
 
-// stop has all connections closed. Nothing may be sent to the host any more.
+// stop closes all connections once they are idle. No attempt may be sent to the host afterwards.
 func (h *upstreamHost) stop() {
 	h.stopping = true
 	h.closeIdleConns()
 }
 
-// send hands an attempt to an idle connection or opens one; for want of sockets the attempt is queued.
+// send assigns an attempt to an idle connection or opens a new one. If no socket is available, the attempt is queued.
 func (h *upstreamHost) send(attempt *attempt) {
 	if attempt.request.life.Finished() {
 		h.reportNotSent(attempt)
@@ -114,8 +116,8 @@
 	go attempt.conn.run(attempt)
 }
 
-// takeIdleConn returns the idle connection to an address that was used last, or nil. It closes idle connections to
-// addresses that the host has left.
+// takeIdleConn removes and returns the most recently used idle connection to an address, or nil. It closes the idle
+// connections to other, former addresses of the host that it finds on the way.
 func (h *upstreamHost) takeIdleConn(addr string) *upstreamConn {
 	for n := len(h.idleConns); n > 0; n = len(h.idleConns) {
 		conn := h.idleConns[n-1]
@@ -128,15 +130,15 @@
 	return nil
 }
 
-// newConn counts a connection for which a socket was acquired. Its goroutine, which the caller starts, ends by
-// connClosed.
+// newConn returns a new connection, for which the caller has acquired a socket. The caller starts its goroutine, which
+// ends with a call to connClosed.
 func (h *upstreamHost) newConn(addr string) *upstreamConn {
 	h.openConns.Add(1)
 	h.router.counters.Dials.Add(1)
 	return &upstreamConn{host: h, addr: addr}
 }
 
-// enqueue has an attempt wait for a socket.
+// enqueue queues an attempt until a socket is available, and makes all hosts close their idle connections.
 func (h *upstreamHost) enqueue(attempt *attempt) {
 	h.queue = append(h.queue, attempt)
 	if h.retryScheduled {
@@ -147,14 +149,15 @@
 	time.AfterFunc(socketRetryDelay, func() { h.post(h.sendQueued) })
 }
 
-// probe opens a connection to see whether the host accepts one, if there is a socket.
+// probe opens a connection to check whether the host accepts it, if the host is ready and a socket is available.
 func (h *upstreamHost) probe() {
 	if h.ready.Load() && h.router.sockets.tryAcquire(1) {
 		go h.newConn(*h.addr.Load()).probe()
 	}
 }
 
-// sendQueued looks again for sockets for the attempts that were queued before the call.
+// sendQueued sends the attempts that were queued before the call. Those for which there is still no socket are queued
+// again.
 func (h *upstreamHost) sendQueued() {
 	h.retryScheduled = false
 	for range len(h.queue) {
@@ -162,21 +165,21 @@
 	}
 }
 
-// sendNext sends the next queued attempt, if there is one.
+// sendNext sends the next queued attempt, if any.
 func (h *upstreamHost) sendNext() {
 	if next := h.nextQueued(); next != nil {
 		h.send(next)
 	}
 }
 
-// abandon stops the writing of an attempt whose request is finished. An attempt that is written whole goes on.
+// abandon stops the writing of an attempt whose request is finished. An attempt that is written completely continues.
 func (h *upstreamHost) abandon(attempt *attempt) {
 	if attempt.conn != nil {
 		attempt.conn.abandonWrite(attempt)
 	}
 }
 
-// cancel ends an attempt, wherever it is.
+// cancel cancels an attempt, whether it is queued, being dialed, being written or waiting for its response.
 func (h *upstreamHost) cancel(attempt *attempt) {
 	attempt.cancelled.Store(true)
 	if attempt.conn != nil {
@@ -184,7 +187,7 @@
 	}
 }
 
-// attemptFinished takes from a connection how its attempt ended. A reusable connection can carry another.
+// attemptFinished handles the result of a connection's attempt. A reusable connection becomes idle.
 func (h *upstreamHost) attemptFinished(conn *upstreamConn, attempt *attempt, result attemptResult, reusable bool) {
 	attempt.conn = nil
 	if !attempt.streaming {
@@ -195,7 +198,7 @@
 	}
 }
 
-// connIdle takes a connection that can carry an attempt.
+// connIdle adds a connection to the idle ones, and sends the next queued attempt.
 func (h *upstreamHost) connIdle(conn *upstreamConn) {
 	if h.stopping {
 		conn.close()
@@ -205,7 +208,7 @@
 	h.sendNext()
 }
 
-// connClosed takes note that a connection has ended. An attempt that it was assigned and did not begin goes to another.
+// connClosed handles the end of a connection. An attempt that was assigned to it but not begun is sent on another one.
 func (h *upstreamHost) connClosed(conn *upstreamConn) {
 	h.openConns.Add(-1)
 	h.router.sockets.release(1)
@@ -218,7 +221,8 @@
 	h.sendNext()
 }
 
-// nextQueued returns the first queued attempt that can still be sent, or nil; those before it end as not sent.
+// nextQueued removes and returns the first queued attempt that can still be sent, or nil. The attempts before it are
+// reported as not sent.
 func (h *upstreamHost) nextQueued() *attempt {
 	for len(h.queue) > 0 {
 		next := h.queue[0]
