--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -12,26 +12,28 @@
 
 const (
 	zoneTick = 100 * time.Millisecond
-	// zoneStatusInterval is how often the status is renewed where nothing is decided: 300 ms, in the balancer's time.
+	// zoneStatusInterval is the interval at which the status is updated while there are no decisions: 300 ms, in the
+	// balancer's ticks.
 	zoneStatusInterval = balancer.Time(3000)
 )
 
-// zoneBroadcast tells other proxies this one's vote on a zone, which counts for a lifetime. It must not wait.
+// zoneBroadcast sends this proxy's vote on a zone to the other proxies. The vote expires after lifetime. The function
+// must not block.
 type zoneBroadcast = func(zone string, vote zonehealth.Report, lifetime zonehealth.Time)
 
-// zoneController is the router's part that evacuates zones and brings them back. Only the router's goroutine looks at
-// it, but for the status.
+// zoneController is the part of the router that evacuates zones and returns them to service. It is accessed only by the
+// router's goroutine, except for the status.
 type zoneController struct {
 	health       *zonehealth.Controller
 	timer        *time.Timer
 	armed        bool          // the timer is set
 	broadcast    zoneBroadcast // nil: there are no other proxies
-	latencyLimit balancer.Time // a response that takes longer is late
+	latencyLimit balancer.Time // latency above which a response is late
 	status       atomic.Pointer[[]zonehealth.ZoneStatus]
-	statusAt     balancer.Time // when the status was renewed
+	statusAt     balancer.Time // time of the last status update
 }
 
-// EnableZoneHealth has whole zones evacuated and brought back. It is to be called before Run.
+// EnableZoneHealth enables the evacuation of unhealthy zones and their return to service. It must be called before Run.
 func (r *Router) EnableZoneHealth(terms zonehealth.Settings, broadcast zoneBroadcast) {
 	r.zones = &zoneController{
 		health: zonehealth.New(r.zoneNow(), terms), timer: time.NewTimer(unarmed),
@@ -42,7 +44,7 @@
 
 func (r *Router) zoneNow() zonehealth.Time { return zonehealth.Time(r.clock.Now()) }
 
-// zoneTimer returns the channel of the next tick; nil where zones are not judged.
+// zoneTimer returns the channel of the next tick, or nil if zone health is not enabled.
 func (r *Router) zoneTimer() <-chan time.Time {
 	if r.zones == nil {
 		return nil
@@ -50,7 +52,7 @@
 	return r.zones.timer.C
 }
 
-// tickZones gives the zone health its tick.
+// tickZones runs a tick of the zone health controller.
 func (r *Router) tickZones() {
 	z := r.zones
 	z.armed = false
@@ -59,7 +61,7 @@
 	r.executeZoneDecisions(z.health.Tick(r.zoneNow()))
 }
 
-// arm sets the timer for the next tick, if there is anything to decide.
+// arm sets the timer for the next tick, if the controller needs one.
 func (z *zoneController) arm() {
 	if !z.armed && z.health.NeedsTick() {
 		z.armed = true
@@ -67,7 +69,8 @@
 	}
 }
 
-// updateZoneNodes tells the zone health which of the hosts that have changed are caches that take requests.
+// updateZoneNodes updates the zone health controller with hosts that have changed: caches that accept requests are
+// listed, all others removed.
 func (r *Router) updateZoneNodes(changed []*upstreamHost) {
 	z := r.zones
 	if z == nil {
@@ -84,14 +87,14 @@
 			Index: h.index, Name: h.name, Zone: h.endpoint.Zone, StartedAt: zonehealth.Time(h.startedAt),
 		})
 	}
-	z.statusAt = 0 // so that the status is renewed
+	z.statusAt = 0 // forces a status update
 	r.executeZoneDecisions(z.health.UpdateNodes(r.zoneNow(), listed, removed))
 	if missing := z.health.MissingZone(); missing != "" && len(listed) > 0 {
 		r.log.Warn("zones: no node has a zone that the file names", zap.String("zone", missing))
 	}
 }
 
-// executeZoneDecisions carries out what the zone health decides, and renews the status.
+// executeZoneDecisions carries out the decisions of the zone health controller, and updates the status.
 func (r *Router) executeZoneDecisions(decisions []zonehealth.Decision) {
 	z, now := r.zones, r.clock.Now()
 	for i := range decisions {
@@ -116,13 +119,13 @@
 	z.arm()
 }
 
-// excludeHost keeps a part of a host's keys from it.
+// excludeHost excludes a host from a fraction of its keys.
 func (r *Router) excludeHost(now balancer.Time, d *zonehealth.Decision) {
 	r.apply(now, func(b *balancer.Balancer) []balancer.Decision {
 		return b.SetExclusion(now, d.Node, d.ExcludedFraction, d.CancelInFlight)
 	})
 	if h := r.hosts[d.Node]; d.ExcludedFraction == 1 && h != nil {
-		h.releaseIdleConns() // nothing is sent there for a while
+		h.releaseIdleConns() // the host receives no requests for a while
 	}
 }
 
@@ -136,14 +139,14 @@
 	z.status.Store(&status)
 }
 
-// zoneAttemptSent takes note of an attempt at a cache.
+// zoneAttemptSent reports an attempt to a cache to the zone health controller.
 func (r *Router) zoneAttemptSent(index int) {
 	if r.zones != nil && !r.hosts[index].isOrigin {
 		r.zones.health.AttemptSent(r.zoneNow(), index)
 	}
 }
 
-// zoneAttemptFinished takes note of how an attempt has ended, and how long it took.
+// zoneAttemptFinished reports the outcome and the latency of an attempt to the zone health controller.
 func (r *Router) zoneAttemptFinished(index int, outcome balancer.Outcome, took balancer.Time) {
 	z := r.zones
 	if z == nil {
@@ -160,7 +163,7 @@
 	z.arm()
 }
 
-// observation returns what an attempt's end says of its cache's health.
+// observation returns the evidence that the end of an attempt gives about the cache's health.
 func (z *zoneController) observation(outcome balancer.Outcome, took balancer.Time) zonehealth.Outcome {
 	switch {
 	case outcome == balancer.ConnectFailed:
@@ -177,7 +180,7 @@
 	return zonehealth.AnsweredInTime
 }
 
-// zoneConnectFinished takes note of whether a new connection to a cache has come up.
+// zoneConnectFinished reports to the zone health controller whether a new connection to a cache was established.
 func (r *Router) zoneConnectFinished(index int, connected bool) {
 	switch {
 	case r.zones == nil || r.hosts[index] == nil || r.hosts[index].isOrigin:
@@ -188,7 +191,7 @@
 	}
 }
 
-// SetZoneMembers takes who the proxies are. catchingUp means that not all are known yet.
+// SetZoneMembers sets the list of proxies. catchingUp means that the list may still be incomplete.
 func (r *Router) SetZoneMembers(all []zonehealth.Proxy, catchingUp bool) {
 	r.mailbox.post(func() {
 		r.zones.health.SetFleet(r.zoneNow(), all, catchingUp)
@@ -196,19 +199,20 @@
 	})
 }
 
-// ReceiveZoneVote takes another proxy's vote on a zone, sent age ago, which counts for a lifetime.
+// ReceiveZoneVote handles another proxy's vote on a zone. age is the time since the vote was sent, lifetime the time
+// after which it expires.
 func (r *Router) ReceiveZoneVote(from, zone string, vote zonehealth.Report, age, lifetime zonehealth.Time) {
 	r.mailbox.post(func() {
 		r.executeZoneDecisions(r.zones.health.PeerReport(r.zoneNow(), from, zone, vote, age, lifetime))
 	})
 }
 
-// OverrideZone takes an operator's override of a zone. It does not wait, and returns false if the router is too busy.
+// OverrideZone sets an operator's override of a zone. It does not block, and returns false if the router is too busy.
 func (r *Router) OverrideZone(order zonehealth.Override) bool {
 	return r.mailbox.tryPost(func() { r.executeZoneDecisions(r.zones.health.SetOverride(r.zoneNow(), order)) })
 }
 
-// ZoneStatus returns the zones' status as of a moment ago; nil where they are not judged.
+// ZoneStatus returns the last status of the zones, or nil if zone health is not enabled.
 func (r *Router) ZoneStatus() []zonehealth.ZoneStatus {
 	if r.zones == nil {
 		return nil
