--- a/internal/proxy/endpoint_list_test.go
+++ b/internal/proxy/endpoint_list_test.go
@@ -15,7 +15,8 @@
 	"woodproxy/internal/wire"
 )
 
-// Watches that end at once, at many proxies, are not opened again at once, and the backoff grows with each failure.
+// Many proxies whose watches end at the same time must not all reopen them at the same time: the backoff is random and
+// grows with each failure up to a bound.
 func TestWatchBackoffIsSpreadAndGrows(t *testing.T) {
 	var firsts []time.Duration
 	for seed := range uint64(40) {
@@ -25,20 +26,21 @@
 		for range 20 {
 			last := list.nextBackoff()
 			if sum += last; last > 3*maxWatchBackoff/2 {
-				t.Errorf("a backoff of %v", last)
+				t.Errorf("got a backoff of %v, want at most %v", last, 3*maxWatchBackoff/2)
 			}
 		}
 		if sum < 12*maxWatchBackoff {
-			t.Errorf("twenty backoffs of %v together", sum)
+			t.Errorf("got %v as the sum of 20 backoffs, want at least %v", sum, 12*maxWatchBackoff)
 		}
 	}
 	slices.Sort(firsts)
 	if firsts[0] < minWatchBackoff/2 || firsts[30]-firsts[10] < minWatchBackoff/4 {
-		t.Errorf("backoffs from %v to %v", firsts[0], firsts[39])
+		t.Errorf("got first backoffs from %v to %v, want at least %v and a wider spread",
+			firsts[0], firsts[39], minWatchBackoff/2)
 	}
 }
 
-// startList runs an endpoint list, polled or watched, of a discovery that serves as given.
+// startList starts an endpoint list that polls or watches a discovery which handles connections with serve.
 func startList(t *testing.T, polls bool, serve func(net.Conn)) (*testProxy, *EndpointList) {
 	t.Helper()
 	addr := listen(t, serve)
@@ -50,8 +52,8 @@
 	return p, list
 }
 
-// A silent watch is followed by another call at once, also where the list is polled: with a backoff after it, a second
-// silent call would leave no time for a third before what was missed counts as known.
+// A silent watch is replaced at once, also when the list is polled. With a backoff, a second silent watch would leave no
+// time for a third one within the time in which the proxy is expected to apply missed events.
 func TestSilentWatchIsRestartedAtOnce(t *testing.T) {
 	for _, test := range []struct {
 		name             string
@@ -65,37 +67,38 @@
 			calls := make(chan struct{}, 10)
 			startList(t, test.polls, func(conn net.Conn) {
 				calls <- struct{}{}
-				_, _ = io.Copy(io.Discard, conn) // says nothing, until the proxy closes the connection
+				_, _ = io.Copy(io.Discard, conn) // sends nothing until the proxy closes the connection
 			})
 			began := time.Now()
 			for range 3 {
 				select {
 				case <-calls:
 				case <-time.After(10 * time.Second):
-					t.Fatal("no call")
+					t.Fatal("no watch was opened within 10 s")
 				}
 			}
-			// Two were silent, the first as any call, since no watch had received anything.
+			// Two watches were silent, each until its first-byte timeout, since neither had received anything.
 			if took := time.Since(began); took > 2*test.firstByteTimeout*5/4+500*time.Millisecond {
-				t.Errorf("polled: %v: the third call came after %v", test.polls, took)
+				t.Errorf("polled %v: the third watch was opened after %v, want at most %v",
+					test.polls, took, 2*test.firstByteTimeout*5/4+500*time.Millisecond)
 			}
 		})
 	}
 }
 
-// A list arrives in pieces, the last of them long after the first, or, where it is polled, long after the call: it is
-// taken from that call. Given up then, it would count as sent and not be known, and the next call would find discovery
-// busier.
+// A list that arrives in pieces with a long pause, or, when polled, a long time after the request, is still accepted. If
+// the proxy gave up, the list would count as sent although the proxy lacks it, and the next request would find discovery
+// even busier.
 func TestSlowEndpointListIsAccepted(t *testing.T) {
 	const header = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	const event = `{"index":3,"snapshot":true,"endpoints":[{"name":"c9","address":"127.0.0.1:1","zone":"a",` +
 		`"type":"std","group":1,"status":"active","weight":1,"since_ms":0}]}` + "\n"
-	const late = pushFirstByteTimeout*5/4 + 200*time.Millisecond // longer than a call waits for an agent's first byte
+	const late = pushFirstByteTimeout*5/4 + 200*time.Millisecond // longer than the first-byte timeout for an agent
 	response := header + fmt.Sprintf("%x\r\n%s\r\n", len(event), event)
 	for _, test := range []struct {
 		name       string
 		polls      bool
-		firstBytes int // that are sent at once
+		firstBytes int // number of bytes that are sent at once
 	}{
 		{"watched, in pieces", false, len(header) + 20},
 		{"polled, late", true, 0},
@@ -104,7 +107,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			p, list := startList(t, test.polls, func(conn net.Conn) {
-				// A failure is seen by the list that does not arrive.
+				// Errors are ignored: a failure shows in the list that does not arrive.
 				_, _ = conn.Read(make([]byte, 1000))
 				_, _ = io.WriteString(conn, response[:test.firstBytes])
 				time.Sleep(late)
@@ -116,16 +119,16 @@
 			case <-time.After(late + time.Second):
 			}
 			if n := p.router.counters.Lists.Load(); n != 1 || list.LatestIndex() != 3 {
-				t.Errorf("%d lists, version %d", n, list.LatestIndex())
+				t.Errorf("got %d lists and index %d, want 1 list and index 3", n, list.LatestIndex())
 			}
 		})
 	}
 }
 
-// A list that took longer than watchSilenceTimeout to come, as a long one may, ended the watch, and each one after it.
+// A long list may take longer than watchSilenceTimeout to arrive. This once ended the watch, and each one after it.
 func TestLongListMayComeSlowly(t *testing.T) {
 	const pieces = 6
-	const pause = 800 * time.Millisecond // in all more than watchSilenceTimeout
+	const pause = 800 * time.Millisecond // the pauses together are longer than watchSilenceTimeout
 	var text strings.Builder
 	text.WriteString(`{"index":7,"snapshot":true,"endpoints":[`)
 	for i := range pieces {
@@ -133,7 +136,7 @@
 	}
 	object := strings.TrimSuffix(text.String(), ",") + "]}\n"
 	p, _ := startList(t, false, func(conn net.Conn) {
-		_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // a failure shows below
+		_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // a failure shows in the missing list
 		for piece := range slices.Chunk([]byte(object), len(object)/pieces+1) {
 			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(piece), piece)
 			time.Sleep(pause)
@@ -145,5 +148,5 @@
 			return
 		}
 	}
-	t.Errorf("no list came; %d watches were opened", p.router.counters.Watches.Load())
+	t.Errorf("no list was applied; %d watches were opened", p.router.counters.Watches.Load())
 }
--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -9,12 +9,12 @@
 	"woodproxy/internal/wire"
 )
 
-// startOf returns when the balancer is told that the endpoint "new" started.
+// startOf returns the start time of the endpoint "new" that is passed to the balancer.
 func startOf(r *Router) balancer.Time {
 	return r.listing(r.hosts[r.hostIndex["new"]]).StartedAt
 }
 
-// notifyStart tells a router of an endpoint that started at a wall-clock time.
+// notifyStart updates a router with an endpoint that started at a wall-clock time. The zero time means long ago.
 func notifyStart(r *Router, name string, startedAt time.Time) {
 	since := int64(0)
 	if !startedAt.IsZero() {
@@ -25,7 +25,7 @@
 	}})
 }
 
-// newRouterWithList returns a router that is not running and knows one endpoint, with discovery's first list taken.
+// newRouterWithList returns a router that is not running, with one endpoint and the first message of discovery applied.
 func newRouterWithList() *Router {
 	r := newTestRouter()
 	r.updateEndpoints(endpointUpdate{whole: true, origin: listKnownAtStart, targets: []wire.Endpoint{
@@ -35,9 +35,9 @@
 	return r
 }
 
-// Wherever the wall clocks of servers and of this proxy stand to each other, an endpoint that is seen to start ages from
-// then by the proxy's monotonic clock: its slow start is neither over before it began, nor lasts for as long as the
-// clocks differ.
+// The start of an endpoint that is reported while the proxy runs is timed by the proxy's monotonic clock, regardless of
+// the difference between the wall clocks of the server and the proxy. Otherwise its slow start could be over before it
+// began, or last for as long as the clocks differ.
 func TestStartIsTimedByMonotonicClock(t *testing.T) {
 	const tolerance = balancer.Time(secondTicks)
 	for _, skew := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
@@ -46,18 +46,18 @@
 			now := r.clock.Now()
 			notifyStart(r, "new", time.Now().Add(skew))
 			if at := startOf(r); at < now-tolerance || at > r.clock.Now() {
-				t.Errorf("a new endpoint starts %v from now", duration(at-now))
+				t.Errorf("got start of a new endpoint %v after now, want now", duration(at-now))
 			}
 			first := startOf(r)
 			notifyStart(r, "new", time.Now().Add(skew+time.Second))
 			if at := startOf(r); at < first || at > r.clock.Now() {
-				t.Errorf("one that restarts starts %v from now", duration(at-now))
+				t.Errorf("got start of a restarted endpoint %v after now, want a time from its first start to now", duration(at-now))
 			}
 		})
 	}
 }
 
-// A server restarts after its wall clock was set back by an hour: it is in slow start again.
+// A server that restarts after its wall clock was set back by an hour is in slow start again.
 func TestRestartAfterClockWasSetBack(t *testing.T) {
 	r := newRouterWithList()
 	notifyStart(r, "new", time.Now())
@@ -65,11 +65,11 @@
 	time.Sleep(2 * time.Millisecond)
 	notifyStart(r, "new", time.Now().Add(-time.Hour))
 	if second := startOf(r); second <= first {
-		t.Errorf("started at %d, and before at %d", second, first)
+		t.Errorf("got start %d after a restart, want later than the previous start %d", second, first)
 	}
 }
 
-// The same start, told again, begins no other slow start, and neither does one that is told as long ago by now.
+// A repeated report of the same start does not begin another slow start, and neither does a report without a start time.
 func TestSameStartIsNotAnother(t *testing.T) {
 	r := newRouterWithList()
 	at := time.Now()
@@ -80,11 +80,11 @@
 	notifyStart(r, "new", time.Time{})
 	notifyStart(r, "new", at)
 	if again := startOf(r); again != first {
-		t.Errorf("started at %d, and before at %d", again, first)
+		t.Errorf("got start %d after repeated reports, want %d", again, first)
 	}
 }
 
-// What started before this process is as old as the wall clock says, and never younger than none.
+// The age of an endpoint that started before this process is taken from the wall clock, and is never negative.
 func TestStartBeforeThisProcess(t *testing.T) {
 	for _, age := range []time.Duration{-time.Hour, 0, 3 * time.Second, time.Hour} {
 		r := newTestRouter()
@@ -93,7 +93,7 @@
 		}})
 		got := duration(r.clock.Now() - startOf(r))
 		if want := max(age, 0); got < want || got > want+time.Second {
-			t.Errorf("age %v, want %v", got, want)
+			t.Errorf("got age %v, want %v", got, want)
 		}
 	}
 }
--- a/internal/proxy/list_latency_test.go
+++ b/internal/proxy/list_latency_test.go
@@ -11,7 +11,7 @@
 	"woodproxy/internal/wire"
 )
 
-// fleetList returns a whole list of servers, six in ten of which are of a generation.
+// fleetList returns a complete list of servers. The names of six in ten of them contain the generation.
 func fleetList(servers, generation int) endpointUpdate {
 	update := endpointUpdate{whole: true}
 	for i := range servers {
@@ -24,13 +24,13 @@
 	return update
 }
 
-// waitForRouter returns how long calls to a router wait, at the 99th percentile, while whole lists come one after the
-// other, in each of which six servers in ten are other ones.
+// waitForRouter returns the 99th percentile of the time that calls wait for a router while it applies complete lists one
+// after the other, each of which replaces six servers in ten.
 func waitForRouter(t *testing.T, servers int) time.Duration {
 	t.Helper()
 	const lasts, interval = 1500 * time.Millisecond, 200 * time.Microsecond
 	router := newTestRouter()
-	router.settings.LongestTimeout = 1 // departed servers make room for others
+	router.settings.LongestTimeout = 1 // frees the indices of departed servers at once
 	go router.Run()
 	list := NewEndpointList("", nil, router, 1, router.counters, zap.NewNop())
 	list.updateRouter(fleetList(servers, 0))
@@ -56,11 +56,12 @@
 	}
 }
 
-// A request that came while a long list was taken over waited for all of it: the longer the list, the longer the wait.
+// A request that arrives while a long list is applied must not wait for all of it. It once did: the longer the list, the
+// longer the wait.
 func TestRequestsDoNotWaitForLongLists(t *testing.T) {
 	usual, many := waitForRouter(t, 200), waitForRouter(t, 3200)
-	t.Logf("at 200 servers %v, at 3200 %v", usual, many)
+	t.Logf("wait at 200 servers: %v, at 3200: %v", usual, many)
 	if many > 2*usual {
-		t.Errorf("calls wait %v at 3200 servers, over twice the %v at 200", many, usual)
+		t.Errorf("got a wait of %v at 3200 servers, want at most twice the %v at 200", many, usual)
 	}
 }
