--- a/internal/proxy/router_test.go
+++ b/internal/proxy/router_test.go
@@ -14,7 +14,7 @@
 	"woodproxy/internal/wire"
 )
 
-// A panic in one call is counted and ends there: the goroutine goes on with the next call.
+// A panic in a call is counted and recovered, and the goroutine continues with the next call.
 func TestPanicInCallDoesNotStopActor(t *testing.T) {
 	router := newTestRouter()
 	go router.Run()
@@ -23,12 +23,12 @@
 	router.mailbox.post(func() { close(done) })
 	<-done
 	if n := router.counters.Panics.Load(); n != 1 {
-		t.Errorf("%d panics counted", n)
+		t.Errorf("got %d panics counted, want 1", n)
 	}
 }
 
-// What has ended holds no value any more: capacity is counted as if it did not, and 64 KiB for each slot and each
-// request would be more than the memory.
+// Finished requests must not retain their values. The value memory does not count them any more, and 64 KiB for each
+// slot and each request would exceed the memory.
 func TestFinishedRequestReleasesValues(t *testing.T) {
 	router := newTestRouter()
 	s := requestSlot{
@@ -37,7 +37,7 @@
 	router.slots = append(router.slots, s)
 	router.releaseSlot(0)
 	if s.attempts[0] != nil || len(router.freeSlots) != 1 {
-		t.Error("a free slot holds its last attempt")
+		t.Error("a free slot retains its last attempt")
 	}
 
 	near, far := net.Pipe()
@@ -48,11 +48,11 @@
 	c.pending = []*request{{ready: true, header: crlf}, {conn: c}}
 	pending := c.pending
 	if err := c.flush(); err != nil || len(c.pending) != 1 || pending[1] != nil {
-		t.Errorf("a connection holds a request whose reply is written: %v", err)
+		t.Errorf("a connection retains a request whose reply is written: %v", err)
 	}
 }
 
-// Hosts that are replaced all day by others under new names leave nothing behind: neither indices nor goroutines.
+// Hosts that are continually replaced by others with new names must not leak indices or goroutines.
 func TestDepartedHostsAreRemoved(t *testing.T) {
 	router := newTestRouter()
 	router.settings.LongestTimeout = 30
@@ -68,28 +68,28 @@
 		time.Sleep(4 * time.Millisecond)
 	}
 	if len(router.hostIndex) > 5 || len(router.hosts) > 5 {
-		t.Errorf("%d names, %d indices", len(router.hostIndex), len(router.hosts))
+		t.Errorf("got %d names and %d indices, want at most 5 of each", len(router.hostIndex), len(router.hosts))
 	}
 	if n := runtime.NumGoroutine(); n > before+5 {
-		t.Errorf("%d goroutines, %d before", n, before)
+		t.Errorf("got %d goroutines, want at most 5 more than the %d at the start", n, before)
 	}
-	// What a whole list does not name has departed.
+	// A listed host does not count as departed, neither in a complete list nor after an update with another host.
 	router.updateEndpoints(endpointUpdate{whole: true, targets: []wire.Endpoint{target(58), target(59)}})
 	router.updateEndpoints(endpointUpdate{targets: []wire.Endpoint{target(58)}})
 	if router.hosts[router.hostIndex["c59"]].departedAt != 0 || router.hosts[router.hostIndex["c58"]].departedAt != 0 {
-		t.Error("a host that is listed counts as departed")
+		t.Error("a listed host counts as departed")
 	}
 }
 
-// The clock counts tenths of a millisecond of Unix time, as the endpoint list's starting times do.
+// The clock counts tenths of a millisecond of Unix time, so that start times of the endpoint list can be converted.
 func TestClockCountsUnixTenthsOfMillisecond(t *testing.T) {
 	c := NewClock()
 	if got, want := c.Now(), balancer.Time(c.base.UnixMilli()*10); got < want || got > want+secondTicks {
-		t.Errorf("%d at %d", got, want)
+		t.Errorf("got %d, want %d", got, want)
 	}
 }
 
-// Requests that wait for longer than the process lives are answered before it ends.
+// Requests whose client waits beyond the end of the process get their replies before the end.
 func TestPendingRequestsAnsweredBeforeShutdown(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p := newTestProxy(t, 10, defaultSettings, cache, origin)
@@ -101,6 +101,6 @@
 		t.Fatal(err)
 	}
 	if line, err := bufio.NewReader(client).ReadString('\n'); !strings.HasPrefix(line, "-BUSY") {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("got reply %q, error %v, want -BUSY", line, err)
 	}
 }
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -9,39 +9,39 @@
 	"woodproxy/internal/settings"
 )
 
-// A panic in the shadow ends the shadow: the balancer's own decision stands.
+// A panic in the shadow disables the shadow and does not affect the balancer's decision.
 func TestShadowPanicDisablesShadowOnly(t *testing.T) {
 	router := newTestRouter()
-	router.shadow = &shadowBalancer{} // without a balancer to ask
+	router.shadow = &shadowBalancer{} // without a balancer, so that each call panics
 	decisions := router.decide(1, func(b *balancer.Balancer) []balancer.Decision {
 		return b.Arrive(1, 0, balancer.Request{Tenant: -1, RemainingTimeout: 12000})
 	})
 	if len(decisions) == 0 || decisions[0].Action != balancer.Shed || router.shadow != nil {
-		t.Errorf("%v decided, shadow still there: %v", decisions, router.shadow != nil)
+		t.Errorf("got decisions %v, shadow enabled %v, want a rejection and no shadow", decisions, router.shadow != nil)
 	}
 }
 
-// shadowRequests is how many requests are put to the two balancers, each with a slot of its own, so that none is reused
-// too soon.
+// shadowRequests is the number of requests to the two balancers. Each has its own slot, so that no slot is reused too
+// soon.
 const shadowRequests = 8000
 
-// simulatedAttempt is an attempt with its end.
+// simulatedAttempt is an attempt with its predetermined end and outcome.
 type simulatedAttempt struct {
 	slot, host     int
 	sentAt, endsAt balancer.Time
 	outcome        balancer.Outcome
 }
 
-// shadowTraffic puts requests with random outcomes to a router's balancer and its shadow.
+// shadowTraffic sends requests with random outcomes to a router's balancer and its shadow.
 type shadowTraffic struct {
 	router   *Router
 	random   *rand.Rand
 	attempts []simulatedAttempt // in flight
 	finished []bool             // by request
-	wakeAt   balancer.Time      // of the balancer; 0: not at all
+	wakeAt   balancer.Time      // time at which the balancer's timer is due; 0: no timer is set
 }
 
-// newShadowTraffic has the shadow use settings that are changed.
+// newShadowTraffic returns traffic for a balancer and a shadow whose settings are modified by change.
 func newShadowTraffic(change func(*balancer.Settings)) *shadowTraffic {
 	terms := balancer.Settings{
 		Routes: []balancer.Route{{Objective: 2000, Timeout: 6000, Value: 1}}, Proxies: 4, MaxAttempts: 3,
@@ -59,7 +59,7 @@
 	}
 }
 
-// apply takes the balancer's decisions.
+// apply carries out the balancer's decisions.
 func (s *shadowTraffic) apply(now balancer.Time, decisions []balancer.Decision) {
 	for _, d := range decisions {
 		switch d.Action {
@@ -75,7 +75,7 @@
 	}
 }
 
-// listNodes lists five caches and an origin.
+// listNodes updates both balancers with five caches and an origin.
 func (s *shadowTraffic) listNodes() {
 	var listings []balancer.Endpoint
 	for i, name := range []string{"a", "b", "c", "d", "e", "o"} {
@@ -86,7 +86,7 @@
 	}))
 }
 
-// wake wakes the balancer and its shadow at their times.
+// wake handles the timers of the balancer and its shadow that are due.
 func (s *shadowTraffic) wake(now balancer.Time) {
 	balancerDue := s.wakeAt != 0 && now >= s.wakeAt
 	shadowDue := s.router.shadow.wakeAt != 0 && now >= s.router.shadow.wakeAt
@@ -102,7 +102,7 @@
 	s.apply(now, decisions)
 }
 
-// finishAttempts ends the attempts whose time has come.
+// finishAttempts finishes the attempts that are due.
 func (s *shadowTraffic) finishAttempts(now balancer.Time) {
 	for i := 0; i < len(s.attempts); i++ {
 		a := s.attempts[i]
@@ -121,7 +121,7 @@
 	}
 }
 
-// arrive puts a request to the balancer.
+// arrive sends a request to the balancer and its shadow.
 func (s *shadowTraffic) arrive(now balancer.Time, slot int) {
 	exchange := balancer.Request{
 		Tenant: -1, RemainingTimeout: 6000, Key: s.random.Uint64N(50), HasKey: true, Write: s.random.IntN(9) == 0,
@@ -131,7 +131,7 @@
 	}))
 }
 
-// run plays all requests to their end, and returns the counters.
+// run simulates all requests to their end, and returns the counters.
 func (s *shadowTraffic) run(t *testing.T) *Counters {
 	t.Helper()
 	s.listNodes()
@@ -145,23 +145,24 @@
 		}
 	}
 	if s.router.shadow == nil || s.router.shadow.balancer.InFlight() != 0 {
-		t.Fatal("the shadow has panicked, or counts attempts that are not in flight")
+		t.Fatal("the shadow panicked or counts attempts that are not in flight")
 	}
 	return s.router.counters
 }
 
-// differences returns how many decisions differed, by any kind.
+// differences returns the number of decisions that differed, of all kinds.
 func differences(c *Counters) int64 {
 	return c.WatchNode.Load() + c.WatchHeld.Load() + c.WatchGivenUp.Load() + c.WatchKept.Load() + c.WatchAnswer.Load()
 }
 
-// Thousands of requests with all outcomes are put to a balancer and its shadow: under the same settings they never
-// differ, and under others the shadow keeps its state, as far as it can tell what becomes of each attempt.
+// A balancer and its shadow receive thousands of requests with all outcomes. With the same settings their decisions never
+// differ. With other settings decisions differ, and the shadow still counts no attempt that is not in flight and no
+// request more than once on average.
 func TestShadowComparesAllOutcomes(t *testing.T) {
 	t.Run("same settings", func(t *testing.T) {
 		c := newShadowTraffic(func(*balancer.Settings) {}).run(t)
 		if differences(c) != 0 || c.WatchSame.Load() < shadowRequests {
-			t.Errorf("under the same settings: %s", c)
+			t.Errorf("got %d differences, want 0; counters: %s", differences(c), c)
 		}
 	})
 	for _, test := range []struct {
@@ -176,7 +177,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if c := newShadowTraffic(test.change).run(t); differences(c) == 0 || differences(c) > shadowRequests {
-				t.Errorf("%s: %s", test.name, c)
+				t.Errorf("got %d differences, want 1 to %d; counters: %s", differences(c), shadowRequests, c)
 			}
 		})
 	}
