--- a/internal/proxy/slow_write_test.go
+++ b/internal/proxy/slow_write_test.go
@@ -15,17 +15,17 @@
 	"woodproxy/internal/wire"
 )
 
-// wholeRequest is a request that an origin has received to its last byte.
+// wholeRequest is a request that an origin has received completely.
 type wholeRequest struct {
-	told time.Duration
-	at   time.Time
+	told time.Duration // wait in the request's facts
+	at   time.Time     // time at which the last byte was received
 }
 
-// segmentSize is that of an Ethernet, in bytes. Loopback's segments are larger than the origin's read buffer: the kernel
-// would send one each 200 ms, however fast the origin reads.
+// segmentSize is the TCP segment size of Ethernet, in bytes. The segments of the loopback interface are larger than the
+// origin's read buffer: the kernel would send one every 200 ms, regardless of how fast the origin reads.
 const segmentSize = 1460
 
-// limitSegments has the connections of a listening socket use segments of segmentSize.
+// limitSegments limits the segments of a listening socket's connections to segmentSize.
 func limitSegments(_, _ string, raw syscall.RawConn) error {
 	var optionError error
 	err := raw.Control(func(fd uintptr) {
@@ -34,7 +34,7 @@
 	return errors.Join(err, optionError)
 }
 
-// pacedReader reads as slowly as takes a time for longValue bytes.
+// pacedReader is a reader that takes the given time to read longValue bytes.
 type pacedReader struct {
 	input io.Reader
 	time  time.Duration
@@ -48,14 +48,15 @@
 
 const longValue = 1 << 20 // bytes
 
-// newPausingOrigin returns an origin that on its first connection stops reading for a while after the first byte, and
-// then takes a time to read a long value. It answers what it has read.
+// newPausingOrigin returns an origin that, on its first connection, pauses after the first byte of the request, and then
+// takes readTime to read a long value. It responds to the requests that it has read and sends them to the returned
+// channel.
 func newPausingOrigin(t *testing.T, pause, readTime time.Duration) (*fakeNode, <-chan wholeRequest) {
 	t.Helper()
 	received, first := make(chan wholeRequest, 10), make(chan struct{}, 1)
 	first <- struct{}{}
 	return &fakeNode{addr: listenWith(t, net.ListenConfig{Control: limitSegments}, func(conn net.Conn) {
-		_ = conn.(*net.TCPConn).SetReadBuffer(16 << 10) // a larger buffer fails the test by what is told
+		_ = conn.(*net.TCPConn).SetReadBuffer(16 << 10) // if this fails, the larger buffer fails the test
 		reader := bufio.NewReader(conn)
 		select {
 		case <-first:
@@ -86,8 +87,9 @@
 	})}, received
 }
 
-// A server reads a long value so slowly that the deadline that it was told at first is later than the client's by the
-// time of the last byte: it does not get that byte, but the whole once more with what is left.
+// A server reads a long value so slowly that, when the last byte is written, the deadline sent in the header is later
+// than the client's. The proxy must not send the last byte, and must send the complete request again with the remaining
+// time.
 func TestSlowWriteOutdatesDeadline(t *testing.T) {
 	const wait, slack = 8 * time.Second, 150 * time.Millisecond
 	for _, test := range []struct{ pause, readTime time.Duration }{
@@ -105,14 +107,14 @@
 			send(t, client, setCommand("long", "c=put,t=x,d=8000,k=1", strings.Repeat("v", longValue)))
 			sent := time.Now()
 			if line, err := bufio.NewReader(client).ReadString('\n'); line != "$5\r\n" {
-				t.Fatalf("%q, %v", line, err)
+				t.Fatalf("got reply %q, error %v, want $5", line, err)
 			}
 			request := <-received
 			if excess := request.at.Add(request.told).Sub(sent.Add(wait)); excess > slack {
-				t.Errorf("told %v, %v more than the client has left", request.told, excess)
+				t.Errorf("got a wait of %v in the request, %v beyond the client's deadline, want at most %v", request.told, excess, slack)
 			}
 			if request.told < (wait-request.at.Sub(began))/3 {
-				t.Errorf("told %v of %v that are left", request.told, wait-request.at.Sub(began))
+				t.Errorf("got a wait of %v in the request, want at least a third of the remaining %v", request.told, wait-request.at.Sub(began))
 			}
 		})
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -12,7 +12,8 @@
 	"woodproxy/internal/wire"
 )
 
-// No more is read of a value than the client takes and two chunks hold, and once it is abandoned nothing more is read.
+// The proxy reads no more of a value than the client has accepted and two chunks hold, and reads nothing more once the
+// stream is abandoned.
 func TestStreamAppliesBackpressure(t *testing.T) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() }) // which also ends the goroutine below
@@ -28,12 +29,12 @@
 			}
 			written.Add(1 << 10)
 		}
-		_, _ = io.WriteString(far, "\r\n") // not reached, or the test fails by what was read
+		_, _ = io.WriteString(far, "\r\n") // not reached unless the test fails
 	}()
 	upstream := newTestConn(newTestRouter(), near)
 	answer, err := wire.ReadCacheResponse(upstream.reader)
 	if err != nil || answer.ValueLength != length {
-		t.Fatal(answer, err)
+		t.Fatalf("got response %+v, error %v, want a value of %d bytes", answer, err, length)
 	}
 	s := newStream(answer.ValueLength)
 	ended := make(chan error)
@@ -46,15 +47,15 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	if n := int(written.Load()); n > taken+streamBufferBytes+8<<10 {
-		t.Errorf("%d read, %d taken", n, taken)
+		t.Errorf("got %d bytes read when the client had accepted %d", n, taken)
 	}
 	s.abandon()
 	select {
 	case err := <-ended:
 		if !errors.Is(err, errStreamAbandoned) {
-			t.Error(err)
+			t.Errorf("got error %v, want errStreamAbandoned", err)
 		}
 	case <-time.After(time.Second):
-		t.Error("an abandoned stream is read on")
+		t.Error("reading continues after the stream was abandoned")
 	}
 }
--- a/internal/proxy/upstream_conn_test.go
+++ b/internal/proxy/upstream_conn_test.go
@@ -16,27 +16,30 @@
 	return &attempt{request: &request{}, sentAt: router.clock.Now(), timeout: secondTicks}
 }
 
-// A second response that lies behind the first would pass for the response to the next attempt: no such is carried.
+// A connection with a second response after the first is not reused, since the second would be taken for the response to
+// the next attempt.
 func TestExtraResponseClosesUpstreamConn(t *testing.T) {
 	router := newTestRouter()
 	near, far := net.Pipe()
 	go func() {
 		if _, err := far.Read(make([]byte, 1000)); err != nil {
-			return // which the test sees by the missing response
+			return // the test fails by the missing response
 		}
-		_, _ = io.WriteString(far, "*1\r\n$3\r\none\r\n*1\r\n$3\r\ntwo\r\n") // as with this
+		// A failure shows in the missing response as well.
+		_, _ = io.WriteString(far, "*1\r\n$3\r\none\r\n*1\r\n$3\r\ntwo\r\n")
 	}()
 	upstream := newTestConn(router, near)
 	got := upstream.roundTrip(newTestAttempt(router))
 	if got.outcome != balancer.Completed || string(got.value) != "one" || got.reusable || got.err != nil ||
 		router.counters.BadPeer.Load() != 1 {
-		t.Errorf("outcome %d, %q, reusable %v: %v", got.outcome, got.value, got.reusable, got.err)
+		t.Errorf("got outcome %d, value %q, reusable %v, error %v, BadPeer %d, want completed, \"one\", not reusable, BadPeer 1",
+			got.outcome, got.value, got.reusable, got.err, router.counters.BadPeer.Load())
 	}
 }
 
-// Bytes behind a good response that arrive only once the connection is assigned the next attempt are not taken for the
-// response to that, and a connection that the upstream has closed by then is not written to: each time there is a new
-// connection.
+// Bytes after a complete response may arrive once the connection is assigned the next attempt. They must not be taken
+// for its response, and nothing must be written to a connection that the upstream has closed by then: in both cases the
+// attempt gets a new connection.
 func TestStaleUpstreamConnIsReplaced(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,20 +73,21 @@
 	for _, want := range []string{"one", "two", "six"} {
 		got := upstream.roundTrip(newTestAttempt(router))
 		if got.outcome != balancer.Completed || string(got.value) != want || !got.reusable || got.err != nil {
-			t.Errorf("outcome %d, %q, reusable %v: %v", got.outcome, got.value, got.reusable, got.err)
+			t.Errorf("got outcome %d, value %q, reusable %v, error %v, want completed, %q, reusable",
+				got.outcome, got.value, got.reusable, got.err, want)
 		}
 		select {
 		case act := <-makeStale:
 			act()
 		case <-time.After(time.Second):
-			t.Fatal("no new connection")
+			t.Fatal("no new connection was opened")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// A connection is told to close in the instant between its last response and becoming idle: it does, where it would
-// else keep a socket that attempts wait for until its idle time is over.
+// A connection that is closed between its last response and becoming idle must close at once. Otherwise it would keep,
+// until its idle timeout, a socket for which attempts wait.
 func TestUpstreamConnClosedAsItBecomesIdle(t *testing.T) {
 	conn, err := net.Dial("tcp", newCache(t).addr)
 	if err != nil {
@@ -97,15 +101,15 @@
 	select {
 	case got := <-ended:
 		if got != nil {
-			t.Error("an attempt that nobody has assigned")
+			t.Error("got an attempt that was not assigned")
 		}
 	case <-time.After(2 * time.Second):
-		t.Error("the connection stays open")
+		t.Error("the connection was not closed within 2 s")
 	}
 }
 
-// The retry of a deduplicated write waits for its connection until upstreams no longer know the first attempt: it is
-// not begun then, and the client gets a reply.
+// The retry of a deduplicated write waits for its connection until after the dedup window, when upstreams would execute
+// it a second time. It must not be sent, and the client must get a reply.
 func TestRetryAfterDedupWindowIsNotSent(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	const windowMS = 300
@@ -122,17 +126,17 @@
 	time.Sleep((windowMS + 20) * time.Millisecond)
 	release()
 	if line, err := bufio.NewReader(client).ReadString('\n'); len(line) < 5 || line[0] != '-' {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("got reply %q, error %v, want an error reply", line, err)
 	}
 	select {
 	case again := <-origin.commands:
-		t.Errorf("%s was sent again after its window", again.id)
+		t.Errorf("request %s was sent again after its dedup window", again.id)
 	default:
 	}
 }
 
-// An HTTP response that tells no length ends with its connection. A reset is no such end, and what came before it is no
-// value.
+// An HTTP response without a length ends with the close of its connection. A reset is not such an end, and the bytes
+// before it are not a complete value.
 func TestResetIsNotEndOfResponse(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -157,16 +161,16 @@
 			}
 			closeConn(t, received.conn)
 			if line, err := bufio.NewReader(client).ReadString('\n'); !strings.HasPrefix(line, test.want) {
-				t.Errorf("reset %v: %q, %v", test.reset, line, err)
+				t.Errorf("reset %v: got reply %q, error %v, want %q", test.reset, line, err, test.want)
 			}
 			if n := len(origin.commands); n > 0 {
-				t.Error("a write that may have run was sent again")
+				t.Error("a write that the origin may have executed was sent again")
 			}
 		})
 	}
 }
 
-// Caches and the origin are told how long this attempt waits, not what the client said when it asked.
+// Caches and the origin receive the remaining wait of the attempt, rather than the wait that the client sent.
 func TestUpstreamIsToldRemainingWait(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p := newTestProxy(t, 10, defaultSettings, cache, origin)
@@ -179,6 +183,7 @@
 	facts, err := wire.ParseFacts([]byte(received.facts))
 	if err != nil || facts.WaitMilliseconds > 5000-lateMS || facts.WaitMilliseconds < 1000 || string(facts.Tenant) != "x" ||
 		received.id != "missed" {
-		t.Errorf("%q of %s: %v", received.facts, received.id, err)
+		t.Errorf("got facts %q of request %s, error %v, want tenant x and a wait from 1000 to %d ms of request missed",
+			received.facts, received.id, err, 5000-lateMS)
 	}
 }
