--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	secondTicks = 1000 * ticksPerMillisecond // in the balancer's time
-	longWaitMS  = 60000                      // a client's waiting time that no test reaches
-	longPut     = "c=put,t=x,d=60000,k=1"    // facts of a write that waits as long, and may be retried
+	secondTicks = 1000 * ticksPerMillisecond // one second in the balancer's ticks
+	longWaitMS  = 60000                      // client wait that no test reaches
+	longPut     = "c=put,t=x,d=60000,k=1"    // facts of a write with the wait longWaitMS that may be retried
 )
 
 // newTestRouter returns a router that is not running, with one socket.
@@ -38,7 +38,7 @@
 	return router
 }
 
-// newTestConn returns a connection to a cache of a router that is not running.
+// newTestConn returns an upstream connection to a cache for a router that is not running.
 func newTestConn(router *Router, conn net.Conn) *upstreamConn {
 	upstream := &upstreamConn{host: newUpstreamHost(router, 0, "c1", false), conn: conn}
 	upstream.host.ready.Store(true)
@@ -48,7 +48,7 @@
 	return upstream
 }
 
-// send writes a text, which has to be accepted.
+// send writes a text, and fails the test on an error.
 func send(t *testing.T, to io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(to, text); err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// closeConn closes a connection, which has to be open.
+// closeConn closes an open connection, and fails the test on an error.
 func closeConn(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-// resetOnClose has a connection's close send a reset.
+// resetOnClose makes the close of a connection send a reset.
 func resetOnClose(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
@@ -72,20 +72,20 @@
 	}
 }
 
-// The order of events at the end of requests and connections is forced: connections to nodes come up when the test lets
-// them, and nodes answer when it says so.
+// The types below let tests force the order of events at the end of requests and connections: connections to nodes are
+// established, and nodes respond, when the test decides.
 
-// blockingDialer dials as net.Dialer does, but to blocked addresses only once they are released.
+// blockingDialer is a net.Dialer that dials blocked addresses only once they are released.
 type blockingDialer struct {
 	net.Dialer
 	mu      sync.Mutex
-	blocked map[string]chan struct{} // by address; closed when connections there may come up
-	failing atomic.Pointer[error]    // nil: connections come up; else what each dial returns
-	failOf  atomic.Int64             // how many of the next dials fail; 0: all
-	dials   atomic.Int64
+	blocked map[string]chan struct{} // by address; closed when connections may be established
+	failing atomic.Pointer[error]    // error that dials return; nil: dials succeed
+	failOf  atomic.Int64             // number of dials that still fail; 0: all
+	dials   atomic.Int64             // number of dials so far
 }
 
-// localError is the error of a dial whose system call fails for a reason of this machine.
+// localError returns the error of a dial whose system call failed for a reason on this machine.
 func localError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
@@ -103,7 +103,7 @@
 	})
 }
 
-// DialContext ignores the context, as a connection does that comes up just as the time is over.
+// DialContext ignores the context, like a connection that is established just as the context ends.
 func (d *blockingDialer) DialContext(_ context.Context, network, addr string) (net.Conn, error) {
 	d.mu.Lock()
 	released := d.blocked[addr]
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// So that a long command is half written to a node that reads nothing.
+	// With a small buffer, a long command is only partly written to a node that reads nothing.
 	if err := conn.(*net.TCPConn).SetWriteBuffer(16 << 10); err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
@@ -135,32 +135,32 @@
 	conn      net.Conn
 }
 
-// replyValue answers the command by a cache's protocol, with "value".
+// replyValue sends the response "value" in the protocol of a cache.
 func (c receivedCommand) replyValue(t *testing.T) {
 	t.Helper()
 	send(t, c.conn, "*1\r\n$5\r\nvalue\r\n")
 }
 
-// fakeNode is a node that hands on the commands that it receives, and answers none by itself.
+// fakeNode is a node that passes received commands to the test, and sends no responses by itself.
 type fakeNode struct {
 	addr     string
 	commands chan receivedCommand
 }
 
-// listen serves connections at an address of its own until the test ends.
+// listen accepts connections at a new address until the test ends, and returns the address.
 func listen(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	return listenWith(t, net.ListenConfig{}, serve)
 }
 
-// listenWith is listen with options of the listening socket.
+// listenWith is listen with a configuration of the listening socket.
 func listenWith(t *testing.T, config net.ListenConfig, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = ln.Close() }) // the test has passed or failed by then
+	t.Cleanup(func() { _ = ln.Close() }) // an error does not matter after the test
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -168,7 +168,7 @@
 				return
 			}
 			go func() {
-				defer func() { _ = conn.Close() }() // the proxy may have closed it before
+				defer func() { _ = conn.Close() }() // the proxy may have closed it already
 				serve(conn)
 			}()
 		}
@@ -185,7 +185,7 @@
 			if _, err := reader.Peek(reader.Buffered() + 1); err != nil {
 				return
 			}
-			buffered, _ := reader.Peek(reader.Buffered()) // never fails: as many bytes are buffered
+			buffered, _ := reader.Peek(reader.Buffered()) // never fails for buffered bytes
 			cmd, length, err := wire.ParseCommand(buffered)
 			if err != nil {
 				continue
@@ -228,12 +228,12 @@
 	case cmd := <-n.commands:
 		return cmd
 	case <-time.After(5 * time.Second):
-		t.Fatal("the node receives no command")
+		t.Fatal("the node received no command within 5 s")
 	}
 	return receivedCommand{}
 }
 
-// testProxy is a proxy without discovery, on real connections.
+// testProxy is a proxy without discovery that uses real connections.
 type testProxy struct {
 	t        *testing.T
 	listener *Listener
@@ -242,7 +242,7 @@
 	ln       *net.TCPListener
 }
 
-// newTestProxy starts a proxy before the given nodes, of which the last is the origin. change changes its settings.
+// newTestProxy starts a proxy for the given nodes, the last of which is the origin. change modifies its settings.
 func newTestProxy(t *testing.T, sockets int, change func(*balancer.Settings), nodes ...*fakeNode) *testProxy {
 	t.Helper()
 	return newSteppedTestProxy(t, &steppedListener{}, sockets, change, nodes...)
@@ -272,7 +272,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = ln.Close() }) // the proxy may have closed it before
+	t.Cleanup(func() { _ = ln.Close() }) // the proxy may have closed it already
 	p.ln = ln.(*net.TCPListener)
 	step.TCPListener = p.ln
 	p.listener = NewListener(step, p.router, 64, p.router.counters, zap.NewNop())
@@ -288,7 +288,7 @@
 	return p
 }
 
-// targetsOf lists nodes, the last one as the origin.
+// targetsOf returns the endpoint list of nodes, the last of which is the origin.
 func targetsOf(nodes []*fakeNode) []wire.Endpoint {
 	var targets []wire.Endpoint
 	for i, node := range nodes {
@@ -301,33 +301,33 @@
 	return targets
 }
 
-// dial returns a client's connection to the proxy.
+// dial returns a client connection to the proxy.
 func (p *testProxy) dial() net.Conn {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.ln.Addr().String())
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it before
+	p.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it already
 	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		p.t.Fatal(err)
 	}
 	return conn
 }
 
-// getCommand returns a read of the key "k".
+// getCommand returns a command that reads the key "k".
 func getCommand(id string, waitMS int) string {
 	facts := fmt.Sprint("c=read,t=x,d=", waitMS)
 	return string(wire.AppendCommand(nil, []byte(commandGet), []byte("k"), []byte(id), []byte(facts), -1))
 }
 
-// setCommand returns a write to the key "k".
+// setCommand returns a command that writes the key "k".
 func setCommand(id, facts, value string) string {
 	header := wire.AppendCommand(nil, []byte(commandSet), []byte("k"), []byte(id), []byte(facts), len(value))
 	return string(header) + value + "\r\n"
 }
 
-// eventually waits until a condition holds, and fails the test with the failure's text if it does not.
+// eventually waits until a condition holds, and fails the test with the given text if it does not hold within 2 s.
 func (p *testProxy) eventually(failure string, holds func() bool) {
 	p.t.Helper()
 	for range 400 {
@@ -339,22 +339,22 @@
 	p.t.Fatal(failure)
 }
 
-// defaultSettings leaves the settings as they are.
+// defaultSettings leaves the settings unchanged.
 func defaultSettings(*balancer.Settings) {}
 
-// steppedListener is a listener that stops between two steps when told: between having accepted a connection and
-// returning it, and between a connection's last look for bytes and its end.
+// steppedListener is a listener that lets a test run code between two steps: between accepting a connection and returning
+// it, and between the last check for input of a connection and its close.
 type steppedListener struct {
-	timeouts *clientTimeouts // nil: as usual
+	timeouts *clientTimeouts // nil: the defaults
 	*net.TCPListener
-	accepted     chan struct{} // nil: does not stop there
+	accepted     chan struct{} // receives a value for each accepted connection, which waits for proceed; nil: no wait
 	proceed      chan struct{}
-	beforeClose  func()       // called once for each connection, before its sending or itself is closed
-	atDeadline   func()       // called as a read's deadline passes
-	failuresLeft atomic.Int64 // how often Accept still fails for failure, or want of file descriptors where that is 0
-	failure      syscall.Errno
-	onFailure    func()       // called at each of them, if it is set
-	readsAtEnd   atomic.Int64 // bytes that were read of connections whose sending was closed
+	beforeClose  func()        // called once for each connection, before CloseWrite or Close
+	atDeadline   func()        // called when the deadline of a read passes
+	failuresLeft atomic.Int64  // number of calls of Accept that still fail
+	failure      syscall.Errno // error of failing calls of Accept; 0: EMFILE
+	onFailure    func()        // called for each failing call of Accept; nil: not called
+	readsAtEnd   atomic.Int64  // bytes that were read from connections after CloseWrite
 }
 
 func (l *steppedListener) Accept() (net.Conn, error) {
@@ -385,7 +385,7 @@
 	return stepped, nil
 }
 
-// serverWriteBuffer is how much, in bytes, of a reply the proxy's machine takes where its client reads nothing.
+// serverWriteBuffer is the size, in bytes, of the proxy's send buffers for client connections.
 const serverWriteBuffer = 200 << 10
 
 type steppedConn struct {
