--- a/internal/proxy/duties.go
+++ b/internal/proxy/duties.go
@@ -37,9 +37,9 @@
 }
 
 // NewDuties returns the duties of a router and an endpoint list. It must be called before the Run methods of both.
-func NewDuties(terms duties.Settings, router *Router, list *EndpointList, broadcast dutyBroadcast, log *zap.Logger) *Duties {
+func NewDuties(config duties.Settings, router *Router, list *EndpointList, broadcast dutyBroadcast, log *zap.Logger) *Duties {
 	d := &Duties{
-		mailbox: make(mailbox, dutiesMailboxSize), assignments: duties.New(duties.Time(router.clock.Now()), terms),
+		mailbox: make(mailbox, dutiesMailboxSize), assignments: duties.New(duties.Time(router.clock.Now()), config),
 		clock: router.clock, router: router, list: list, broadcast: broadcast, counters: router.counters, log: log,
 	}
 	d.figures.Store(&duties.Statistics{})
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -223,10 +223,10 @@
 	if isFirst {
 		return
 	}
-	for left := update.targets; len(left) > 0; {
-		taken := left
-		left = nil // ends the loop if the call panics
-		l.callRouter(func() { left = r.updateSomeHosts(taken, update.origin) })
+	for remaining := update.targets; len(remaining) > 0; {
+		batch := remaining
+		remaining = nil // ends the loop if the call panics
+		l.callRouter(func() { remaining = r.updateSomeHosts(batch, update.origin) })
 	}
 	if update.whole {
 		l.departUnlisted()
@@ -236,12 +236,12 @@
 
 // departUnlisted makes the router mark the hosts as departed that are not in the complete list it has just applied.
 func (l *EndpointList) departUnlisted() {
-	var left []*upstreamHost
-	l.callRouter(func() { left = l.router.unlistedHosts() })
-	for len(left) > 0 {
-		taken := left
-		left = nil // ends the loop if the call panics
-		l.callRouter(func() { left = l.router.departSomeHosts(taken) })
+	var remaining []*upstreamHost
+	l.callRouter(func() { remaining = l.router.unlistedHosts() })
+	for len(remaining) > 0 {
+		batch := remaining
+		remaining = nil // ends the loop if the call panics
+		l.callRouter(func() { remaining = l.router.departSomeHosts(batch) })
 	}
 }
 
--- a/internal/proxy/host_index.go
+++ b/internal/proxy/host_index.go
@@ -55,8 +55,8 @@
 }
 
 // updateSomeHosts applies entries of the endpoint list for about listCallTime, and returns the remaining ones.
-func (r *Router) updateSomeHosts(targets []wire.Endpoint, origin listOrigin) (left []wire.Endpoint) {
-	for began := time.Now(); len(targets) > 0 && time.Since(began) < listCallTime; {
+func (r *Router) updateSomeHosts(targets []wire.Endpoint, origin listOrigin) (remaining []wire.Endpoint) {
+	for start := time.Now(); len(targets) > 0 && time.Since(start) < listCallTime; {
 		step := min(len(targets), maxHostsPerStep)
 		r.updateHosts(targets[:step], origin)
 		targets = targets[step:]
@@ -94,8 +94,8 @@
 }
 
 // departSomeHosts marks hosts as departed for about listCallTime, and returns the remaining ones.
-func (r *Router) departSomeHosts(unlisted []*upstreamHost) (left []*upstreamHost) {
-	for began := time.Now(); len(unlisted) > 0 && time.Since(began) < listCallTime; {
+func (r *Router) departSomeHosts(unlisted []*upstreamHost) (remaining []*upstreamHost) {
+	for start := time.Now(); len(unlisted) > 0 && time.Since(start) < listCallTime; {
 		step := min(len(unlisted), maxHostsPerStep)
 		r.departHosts(unlisted[:step])
 		unlisted = unlisted[step:]
--- a/internal/proxy/list_latency_test.go
+++ b/internal/proxy/list_latency_test.go
@@ -28,13 +28,13 @@
 // after the other, each of which replaces six servers in ten.
 func waitForRouter(t *testing.T, servers int) time.Duration {
 	t.Helper()
-	const lasts, interval = 1500 * time.Millisecond, 200 * time.Microsecond
+	const testDuration, interval = 1500 * time.Millisecond, 200 * time.Microsecond
 	router := newTestRouter()
 	router.settings.LongestTimeout = 1 // frees the indices of departed servers at once
 	go router.Run()
 	list := NewEndpointList("", nil, router, 1, router.counters, zap.NewNop())
 	list.updateRouter(fleetList(servers, 0))
-	end, ended := time.Now().Add(lasts), make(chan struct{})
+	end, ended := time.Now().Add(testDuration), make(chan struct{})
 	go func() {
 		defer close(ended)
 		for generation := 1; time.Now().Before(end); generation++ {
--- a/internal/proxy/negative_cache.go
+++ b/internal/proxy/negative_cache.go
@@ -38,9 +38,9 @@
 
 // NewNegativeCache returns the negative cache of a router. It must be called before the router's Run.
 func NewNegativeCache(
-	terms negativecache.Settings, router *Router, broadcast func(d *negativecache.Decision), log *zap.Logger,
+	config negativecache.Settings, router *Router, broadcast func(d *negativecache.Decision), log *zap.Logger,
 ) *NegativeCache {
-	cache := negativecache.New(negativecache.Time(router.clock.Now()), terms)
+	cache := negativecache.New(negativecache.Time(router.clock.Now()), config)
 	n := &NegativeCache{
 		mailbox: make(mailbox, negativeCacheMailboxSize), cache: cache, table: cache.Table,
 		clock: router.clock, settings: router.settings, counters: router.counters, log: log, broadcast: broadcast,
@@ -84,10 +84,10 @@
 // Stats returns the cache's statistics as of its last tick.
 func (n *NegativeCache) Stats() negativecache.Stats { return *n.figures.Load() }
 
-// SetMembers sets the list of proxies that may accept writes. stated is the number of proxies that operators have
+// SetMembers sets the list of proxies that may accept writes. configuredCount is the number of proxies that operators have
 // configured. catchingUp means that the list may still be incomplete.
-func (n *NegativeCache) SetMembers(all []negativecache.Proxy, stated int, catchingUp bool) {
-	n.mailbox.tryPost(func() { n.execute(n.cache.UpdateFleet(n.now(), all, stated, catchingUp)) })
+func (n *NegativeCache) SetMembers(all []negativecache.Proxy, configuredCount int, catchingUp bool) {
+	n.mailbox.tryPost(func() { n.execute(n.cache.UpdateFleet(n.now(), all, configuredCount, catchingUp)) })
 }
 
 // ReceiveWrites handles another proxy's message with hashes of keys that were written. They are recorded in the table
@@ -137,10 +137,10 @@
 
 // recordMiss handles a response from the origin that the key is absent.
 func (n *NegativeCache) recordMiss(attempt *attempt) {
-	hash, ticket := xxhash.Sum64(attempt.request.key), attempt.cacheTicket
+	hash, token := xxhash.Sum64(attempt.request.key), attempt.cacheTicket
 	tenant, ok := n.settings.Tenants[attempt.request.tenant]
 	if !ok {
 		tenant = -1
 	}
-	n.mailbox.tryPost(func() { n.execute(n.cache.KeyFetchedAbsent(n.now(), hash, ticket, tenant)) })
+	n.mailbox.tryPost(func() { n.execute(n.cache.KeyFetchedAbsent(n.now(), hash, token, tenant)) })
 }
--- a/internal/proxy/request_slot.go
+++ b/internal/proxy/request_slot.go
@@ -35,9 +35,9 @@
 	}
 	slot := r.acquireSlot(req)
 	now := r.clock.Now()
-	exchange := r.describe(req, route, now)
+	balancerRequest := r.describe(req, route, now)
 	r.slots[slot].trace.add(traceEvent{at: req.receivedAt, kind: traceReceived})
-	r.apply(now, func(b *balancer.Balancer) []balancer.Decision { return b.Arrive(now, slot, exchange) })
+	r.apply(now, func(b *balancer.Balancer) []balancer.Decision { return b.Arrive(now, slot, balancerRequest) })
 }
 
 // describe returns the balancer's description of a request.
@@ -170,12 +170,12 @@
 		s.firstSentAt = attempt.sentAt
 	}
 	r.deliver(attempt, result)
-	answer := balancer.AttemptResult{
+	balancerResult := balancer.AttemptResult{
 		Request: attempt.slot, Endpoint: attempt.host, Outcome: result.outcome, Latency: now - attempt.sentAt, Answered: s.finished,
 	}
-	r.zoneAttemptFinished(attempt.host, result.outcome, answer.Latency)
+	r.zoneAttemptFinished(attempt.host, result.outcome, balancerResult.Latency)
 	wasEjected := r.balancer.IsEjected(attempt.host)
-	r.apply(now, func(b *balancer.Balancer) []balancer.Decision { return b.AttemptFinished(now, answer) })
+	r.apply(now, func(b *balancer.Balancer) []balancer.Decision { return b.AttemptFinished(now, balancerResult) })
 	r.dutyAttemptFinished(attempt.host, wasEjected)
 	r.releaseSlot(attempt.slot)
 }
--- a/internal/proxy/router.go
+++ b/internal/proxy/router.go
@@ -63,7 +63,7 @@
 	zones         *zoneController
 	negativeCache *NegativeCache
 	duties        *Duties
-	notifyPeers   func(node string, answers bool)
+	notifyPeers   func(node string, responds bool)
 }
 
 // dialer opens connections. It is implemented by net.Dialer.
@@ -124,8 +124,8 @@
 
 // FinishWithin sets the time that is left until the process ends. All held and later requests get their replies before
 // then.
-func (r *Router) FinishWithin(left time.Duration) {
-	shutdownAt := r.clock.Now() + balancer.Time(left/tickDuration)
+func (r *Router) FinishWithin(remaining time.Duration) {
+	shutdownAt := r.clock.Now() + balancer.Time(remaining/tickDuration)
 	r.mailbox.post(func() {
 		r.shutdownAt = shutdownAt
 		now := r.clock.Now()
@@ -144,10 +144,10 @@
 
 // SetPeerNotifier sets the function that reports to other proxies whether a host responds. The function must not block.
 // SetPeerNotifier must be called before Run.
-func (r *Router) SetPeerNotifier(notify func(node string, answers bool)) { r.notifyPeers = notify }
+func (r *Router) SetPeerNotifier(notify func(node string, responds bool)) { r.notifyPeers = notify }
 
 // ReceivePeerReport handles another proxy's report on whether a host responds.
-func (r *Router) ReceivePeerReport(node string, answers bool) {
+func (r *Router) ReceivePeerReport(node string, responds bool) {
 	r.mailbox.post(func() {
 		index, ok := r.hostIndex[node]
 		if !ok {
@@ -155,7 +155,7 @@
 		}
 		r.counters.PeerSights.Add(1)
 		now := r.clock.Now()
-		r.apply(now, func(b *balancer.Balancer) []balancer.Decision { return b.PeerReport(now, index, answers) })
+		r.apply(now, func(b *balancer.Balancer) []balancer.Decision { return b.PeerReport(now, index, responds) })
 	})
 }
 
--- a/internal/proxy/shadow.go
+++ b/internal/proxy/shadow.go
@@ -77,24 +77,24 @@
 
 // timerFired handles the shadow's timer if it is due, and compares the decisions with the balancer's.
 func (s *shadowBalancer) timerFired(now balancer.Time, actual []balancer.Decision) {
-	var would []balancer.Decision
+	var hypothetical []balancer.Decision
 	if s.wakeAt != 0 && now >= s.wakeAt {
 		s.wakeAt = 0
-		would = s.balancer.TimerFired(now)
+		hypothetical = s.balancer.TimerFired(now)
 	}
-	s.compare(now, actual, would)
+	s.compare(now, actual, hypothetical)
 }
 
 // compare counts equal and different decisions of the balancer and its shadow, and updates the shadow with the actual
 // ones.
-func (s *shadowBalancer) compare(now balancer.Time, actual, would []balancer.Decision) {
+func (s *shadowBalancer) compare(now balancer.Time, actual, hypothetical []balancer.Decision) {
 	for i := range actual {
 		if isFinalReply(actual[i]) || actual[i].Action == balancer.Send {
 			s.actual[actual[i].Request] = &actual[i]
 		}
 	}
-	for i := range would {
-		switch d := &would[i]; d.Action {
+	for i := range hypothetical {
+		switch d := &hypothetical[i]; d.Action {
 		case balancer.SetTimer:
 			s.wakeAt = now + d.After
 			s.timer.Reset(duration(d.After))
@@ -124,16 +124,16 @@
 
 // compareRequest compares the decisions on one request; nil means that the request is left waiting. At a difference the
 // shadow releases the request, and from then on only records its actual attempts.
-func (s *shadowBalancer) compareRequest(now balancer.Time, would, actual *balancer.Decision) {
-	if would != nil && actual != nil && sameDecision(would, actual) {
+func (s *shadowBalancer) compareRequest(now balancer.Time, hypothetical, actual *balancer.Decision) {
+	if hypothetical != nil && actual != nil && sameDecision(hypothetical, actual) {
 		s.counters.WatchSame.Add(1)
 		return
 	}
-	s.countDifference(would, actual)
+	s.countDifference(hypothetical, actual)
 	slot := 0
-	if would != nil {
-		slot = would.Request
-		if would.Action == balancer.Send {
+	if hypothetical != nil {
+		slot = hypothetical.Request
+		if hypothetical.Action == balancer.Send {
 			s.balancer.RetractAttempt(slot)
 		}
 	} else {
@@ -147,22 +147,22 @@
 	}
 }
 
-func sameDecision(would, actual *balancer.Decision) bool {
-	return would.Action == actual.Action && (isFinalReply(*actual) || would.Endpoint == actual.Endpoint)
+func sameDecision(hypothetical, actual *balancer.Decision) bool {
+	return hypothetical.Action == actual.Action && (isFinalReply(*actual) || hypothetical.Endpoint == actual.Endpoint)
 }
 
 // countDifference counts the difference between two decisions on a request by kind. At most one of them is nil.
-func (s *shadowBalancer) countDifference(would, actual *balancer.Decision) {
+func (s *shadowBalancer) countDifference(hypothetical, actual *balancer.Decision) {
 	actualEnds := actual != nil && isFinalReply(*actual)
-	wouldEnd := would != nil && isFinalReply(*would)
+	hypotheticalEnds := hypothetical != nil && isFinalReply(*hypothetical)
 	switch {
-	case actualEnds && !wouldEnd:
+	case actualEnds && !hypotheticalEnds:
 		s.counters.WatchKept.Add(1)
-	case wouldEnd && !actualEnds:
+	case hypotheticalEnds && !actualEnds:
 		s.counters.WatchGivenUp.Add(1)
-	case would == nil || actual == nil:
+	case hypothetical == nil || actual == nil:
 		s.counters.WatchHeld.Add(1)
-	case wouldEnd:
+	case hypotheticalEnds:
 		s.counters.WatchAnswer.Add(1)
 	default:
 		s.counters.WatchNode.Add(1)
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -43,15 +43,15 @@
 
 // newShadowTraffic returns traffic for a balancer and a shadow whose settings are modified by change.
 func newShadowTraffic(change func(*balancer.Settings)) *shadowTraffic {
-	terms := balancer.Settings{
+	config := balancer.Settings{
 		Routes: []balancer.Route{{Objective: 2000, Timeout: 6000, Value: 1}}, Proxies: 4, MaxAttempts: 3,
 		Tick: 10, CacheAside: true, SlowStart: 50000, SlowStartInitialFraction: 0.3, SlowStartOverloadWindow: 20000, SlowStartOverloadMultiple: 3, MayCancel: true,
 	}
-	shadowTerms := terms
-	shadowTerms.Routes = append([]balancer.Route{}, terms.Routes...)
+	shadowTerms := config
+	shadowTerms.Routes = append([]balancer.Route{}, config.Routes...)
 	change(&shadowTerms)
 	router := newTestRouter()
-	router.balancer = balancer.New(0, terms, 1)
+	router.balancer = balancer.New(0, config, 1)
 	router.EnableShadow(&settings.Settings{Balancer: shadowTerms}, 1)
 	router.shadow.balancer = balancer.New(0, shadowTerms, 1)
 	return &shadowTraffic{
@@ -112,22 +112,22 @@
 		s.attempts = slices.Delete(s.attempts, i, i+1)
 		i--
 		s.finished[a.slot] = s.finished[a.slot] || a.outcome == balancer.Completed
-		answer := balancer.AttemptResult{
+		result := balancer.AttemptResult{
 			Request: a.slot, Endpoint: a.host, Outcome: a.outcome, Latency: now - a.sentAt, Answered: s.finished[a.slot],
 		}
 		s.apply(now, s.router.decide(now, func(b *balancer.Balancer) []balancer.Decision {
-			return b.AttemptFinished(now, answer)
+			return b.AttemptFinished(now, result)
 		}))
 	}
 }
 
 // arrive sends a request to the balancer and its shadow.
 func (s *shadowTraffic) arrive(now balancer.Time, slot int) {
-	exchange := balancer.Request{
+	request := balancer.Request{
 		Tenant: -1, RemainingTimeout: 6000, Key: s.random.Uint64N(50), HasKey: true, Write: s.random.IntN(9) == 0,
 	}
 	s.apply(now, s.router.decide(now, func(b *balancer.Balancer) []balancer.Decision {
-		return b.Arrive(now, slot, exchange)
+		return b.Arrive(now, slot, request)
 	}))
 }
 
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -73,7 +73,7 @@
 // streamValue streams a value to the client. For the balancer the attempt completes with the first byte, after which
 // there is no retry: a value that breaks off later closes the client's connection. The last byte is held back until the
 // upstream has ended the value according to the protocol, so that the client detects a wrong length as well.
-func (u *upstreamConn) streamValue(attempt *attempt, answer *wire.Response, until time.Time) error {
+func (u *upstreamConn) streamValue(attempt *attempt, response *wire.Response, until time.Time) error {
 	router := u.host.router
 	for !router.streamMemory.tryAcquire(streamBufferBytes) { // meanwhile the value stays in the socket
 		if attempt.cancelled.Load() || time.Now().After(until) {
@@ -85,38 +85,38 @@
 	if _, err := u.reader.Peek(1); err != nil { // up to here the request can be retried
 		return &wire.AttemptError{Progress: wire.Reading, Err: err}
 	}
-	s := newStream(answer.ValueLength)
+	s := newStream(response.ValueLength)
 	attempt.streaming = true
 	router.mailbox.post(func() { router.attemptFinished(attempt, attemptResult{outcome: balancer.Completed, stream: s}) })
-	s.err = u.readChunks(s, answer)
+	s.err = u.readChunks(s, response)
 	close(s.filled)
 	return s.err
 }
 
 // readChunks reads a value into the stream. It returns an error if the value breaks off or the stream is abandoned.
-func (u *upstreamConn) readChunks(s *stream, answer *wire.Response) error {
-	for left := answer.ValueLength; left > 0; {
+func (u *upstreamConn) readChunks(s *stream, response *wire.Response) error {
+	for remaining := response.ValueLength; remaining > 0; {
 		chunk, err := s.nextEmpty()
 		if err != nil {
 			return err
 		}
-		if chunk, err = u.readChunk(chunk, left); err != nil {
+		if chunk, err = u.readChunk(chunk, remaining); err != nil {
 			return &wire.AttemptError{Progress: wire.Reading, Err: err}
 		}
-		if left -= len(chunk); left == 0 {
-			return u.finishStream(s, answer, chunk)
+		if remaining -= len(chunk); remaining == 0 {
+			return u.finishStream(s, response, chunk)
 		}
 		s.filled <- chunk // never blocks: the channel has the capacity for all chunks
 	}
 	return nil
 }
 
-// readChunk reads at most left bytes of the value into an empty chunk, and leaves space for the line end.
-func (u *upstreamConn) readChunk(chunk []byte, left int) ([]byte, error) {
+// readChunk reads at most remaining bytes of the value into an empty chunk, and leaves space for the line end.
+func (u *upstreamConn) readChunk(chunk []byte, remaining int) ([]byte, error) {
 	if err := u.conn.SetReadDeadline(time.Now().Add(stallTimeout)); err != nil {
 		return nil, err
 	}
-	n, err := u.reader.Read(chunk[:min(left, cap(chunk)-len(crlf))])
+	n, err := u.reader.Read(chunk[:min(remaining, cap(chunk)-len(crlf))])
 	if n == 0 && err == nil {
 		err = io.ErrNoProgress
 	}
@@ -125,7 +125,7 @@
 
 // finishStream passes the last chunk to the client: all but its last byte at once, and the last byte with the line end
 // once the upstream has ended the value correctly.
-func (u *upstreamConn) finishStream(s *stream, answer *wire.Response, chunk []byte) error {
+func (u *upstreamConn) finishStream(s *stream, response *wire.Response, chunk []byte) error {
 	if n := len(chunk); n > 1 {
 		s.filled <- chunk[:n-1]
 		last := chunk[n-1]
@@ -139,7 +139,7 @@
 			return &wire.AttemptError{Progress: wire.Reading, Err: err}
 		}
 	}
-	if err := answer.ReadValueEnd(u.reader); err != nil {
+	if err := response.ReadValueEnd(u.reader); err != nil {
 		return err
 	}
 	chunk = append(chunk, crlf...)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -32,13 +32,13 @@
 		_, _ = io.WriteString(far, "\r\n") // not reached unless the test fails
 	}()
 	upstream := newTestConn(newTestRouter(), near)
-	answer, err := wire.ReadCacheResponse(upstream.reader)
-	if err != nil || answer.ValueLength != length {
-		t.Fatalf("got response %+v, error %v, want a value of %d bytes", answer, err, length)
+	response, err := wire.ReadCacheResponse(upstream.reader)
+	if err != nil || response.ValueLength != length {
+		t.Fatalf("got response %+v, error %v, want a value of %d bytes", response, err, length)
 	}
-	s := newStream(answer.ValueLength)
+	s := newStream(response.ValueLength)
 	ended := make(chan error)
-	go func() { ended <- upstream.readChunks(s, &answer) }()
+	go func() { ended <- upstream.readChunks(s, &response) }()
 	taken := 0
 	for range 10 {
 		chunk := <-s.filled
--- a/internal/proxy/upstream_roundtrip.go
+++ b/internal/proxy/upstream_roundtrip.go
@@ -120,8 +120,8 @@
 // failure returns the result of an attempt that ended without a complete response. The outcome depends on the progress
 // of the attempt.
 func (u *upstreamConn) failure(attempt *attempt, err error) roundTripResult {
-	var halt *wire.AttemptError
-	mayHaveRun := errors.As(err, &halt) && halt.MayHaveRun()
+	var attemptErr *wire.AttemptError
+	mayHaveRun := errors.As(err, &attemptErr) && attemptErr.MayHaveRun()
 	outcome := balancer.Reset
 	switch {
 	case attempt.cancelled.Load():
@@ -200,9 +200,9 @@
 	if req.value != nil {
 		size = len(req.value)
 	}
-	left := duration(attempt.sentAt + attempt.timeout - h.router.clock.Now())
-	u.writeReserve = req.writeReserve(left, size)
-	u.toldMS = max(int((left-u.writeReserve)/time.Millisecond), 1)
+	remaining := duration(attempt.sentAt + attempt.timeout - h.router.clock.Now())
+	u.writeReserve = req.writeReserve(remaining, size)
+	u.toldMS = max(int((remaining-u.writeReserve)/time.Millisecond), 1)
 	facts := wire.AppendFacts(nil, req.facts, u.toldMS)
 	if h.isOrigin {
 		u.header = wire.AppendOriginRequest(u.header[:0], u.addr, req.key, req.id, facts, size)
@@ -224,51 +224,51 @@
 	if u.host.isOrigin {
 		read = wire.ReadOriginResponse
 	}
-	answer, err := read(u.reader)
+	response, err := read(u.reader)
 	if err != nil {
 		return u.failure(attempt, err)
 	}
-	if answer.NotFound && u.host.router.negativeCache != nil && attempt.request.value == nil {
+	if response.NotFound && u.host.router.negativeCache != nil && attempt.request.value == nil {
 		attempt.notFound = true
 		return roundTripResult{
 			attemptResult: attemptResult{outcome: balancer.Completed},
-			reusable:      answer.Reusable && u.reader.Buffered() == 0,
+			reusable:      response.Reusable && u.reader.Buffered() == 0,
 		}
 	}
 	var value []byte
-	if answer.Outcome == balancer.Completed {
-		if value, err = u.readValue(attempt, &answer, until); err != nil {
+	if response.Outcome == balancer.Completed {
+		if value, err = u.readValue(attempt, &response, until); err != nil {
 			return u.failure(attempt, err)
 		}
 	}
-	if n := u.reader.Buffered(); answer.Reusable && n > 0 { // the extra bytes would be taken for the next response
+	if n := u.reader.Buffered(); response.Reusable && n > 0 { // the extra bytes would be taken for the next response
 		u.reportBadBytes(fmt.Errorf("%w: %d unexpected bytes", wire.ErrProtocol, n))
-		answer.Reusable = false
+		response.Reusable = false
 	}
-	return roundTripResult{attemptResult: attemptResult{outcome: answer.Outcome, value: value}, reusable: answer.Reusable}
+	return roundTripResult{attemptResult: attemptResult{outcome: response.Outcome, value: value}, reusable: response.Reusable}
 }
 
 // readValue reads the value of a completed attempt. It returns the complete value if it is already buffered, or if it is
 // short and there is value memory for it. Otherwise it streams the value as the reply to the client, and returns nil.
-func (u *upstreamConn) readValue(attempt *attempt, answer *wire.Response, until time.Time) ([]byte, error) {
+func (u *upstreamConn) readValue(attempt *attempt, response *wire.Response, until time.Time) ([]byte, error) {
 	memory := u.host.router.valueMemory
-	_, alreadyRead := answer.BufferedValue()
+	_, alreadyRead := response.BufferedValue()
 	switch {
 	case alreadyRead:
-		memory.acquire(answer.ValueLength)
-	case answer.ValueLength <= wire.MaxBufferedValue && memory.tryAcquire(answer.ValueLength):
+		memory.acquire(response.ValueLength)
+	case response.ValueLength <= wire.MaxBufferedValue && memory.tryAcquire(response.ValueLength):
 	default:
-		if err := u.streamValue(attempt, answer, until); err != nil {
+		if err := u.streamValue(attempt, response, until); err != nil {
 			return nil, err
 		}
-		return nil, answer.SkipTrailing(u.reader)
+		return nil, response.SkipTrailing(u.reader)
 	}
-	value, err := answer.ReadValue(u.reader)
+	value, err := response.ReadValue(u.reader)
 	if err == nil {
-		err = answer.SkipTrailing(u.reader)
+		err = response.SkipTrailing(u.reader)
 	}
 	if err != nil {
-		memory.release(answer.ValueLength)
+		memory.release(response.ValueLength)
 		return nil, err
 	}
 	return value, nil
--- a/internal/proxy/upstream_write.go
+++ b/internal/proxy/upstream_write.go
@@ -26,13 +26,13 @@
 // writeReserve returns the time that is reserved for writing an attempt of size bytes with the given remaining time.
 // Writing may exceed the reserve by lifecycle.MaxWriteDelay. The wait that is sent to the upstream is shorter by the
 // reserve: an upstream begins a request when its last byte arrives, and counts the wait from then.
-func (r *request) writeReserve(left time.Duration, size int) time.Duration {
+func (r *request) writeReserve(remaining time.Duration, size int) time.Duration {
 	if size < heldBackFrom {
 		return 0
 	}
-	expected := min(time.Duration(size)*time.Second/expectedWriteRate, time.Duration(float64(left)*maxExpectedPart))
-	seen := time.Duration(r.writeTime.Load()) * 5 / 4
-	return min(max(expected, seen), time.Duration(float64(left)*maxReservePart))
+	expected := min(time.Duration(size)*time.Second/expectedWriteRate, time.Duration(float64(remaining)*maxExpectedPart))
+	measured := time.Duration(r.writeTime.Load()) * 5 / 4
+	return min(max(expected, measured), time.Duration(float64(remaining)*maxReservePart))
 }
 
 // writeRequest writes a request, with its header and value gathered into one write. The end of a long request is held
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -34,10 +34,10 @@
 }
 
 // EnableZoneHealth enables the evacuation of unhealthy zones and their return to service. It must be called before Run.
-func (r *Router) EnableZoneHealth(terms zonehealth.Settings, broadcast zoneBroadcast) {
+func (r *Router) EnableZoneHealth(config zonehealth.Settings, broadcast zoneBroadcast) {
 	r.zones = &zoneController{
-		health: zonehealth.New(r.zoneNow(), terms), timer: time.NewTimer(unarmed),
-		broadcast: broadcast, latencyLimit: balancer.Time(terms.ShortestObjective),
+		health: zonehealth.New(r.zoneNow(), config), timer: time.NewTimer(unarmed),
+		broadcast: broadcast, latencyLimit: balancer.Time(config.ShortestObjective),
 	}
 	r.zones.status.Store(&[]zonehealth.ZoneStatus{})
 }
@@ -208,8 +208,8 @@
 }
 
 // OverrideZone sets an operator's override of a zone. It does not block, and returns false if the router is too busy.
-func (r *Router) OverrideZone(order zonehealth.Override) bool {
-	return r.mailbox.tryPost(func() { r.executeZoneDecisions(r.zones.health.SetOverride(r.zoneNow(), order)) })
+func (r *Router) OverrideZone(override zonehealth.Override) bool {
+	return r.mailbox.tryPost(func() { r.executeZoneDecisions(r.zones.health.SetOverride(r.zoneNow(), override)) })
 }
 
 // ZoneStatus returns the last status of the zones, or nil if zone health is not enabled.
