--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -14,8 +14,8 @@
 	return r.listing(r.hosts[r.hostIndex["new"]]).StartedAt
 }
 
-// notifyStart updates a router with an endpoint that started at a wall-clock time. The zero time means long ago.
-func notifyStart(r *Router, name string, startedAt time.Time) {
+// updateStart updates a router with an endpoint that started at a wall-clock time. The zero time means long ago.
+func updateStart(r *Router, name string, startedAt time.Time) {
 	since := int64(0)
 	if !startedAt.IsZero() {
 		since = startedAt.UnixMilli()
@@ -31,7 +31,7 @@
 	r.updateEndpoints(endpointUpdate{whole: true, origin: listKnownAtStart, targets: []wire.Endpoint{
 		{Name: "old", Address: "127.0.0.1:1", Kind: "std", Ready: true, Weight: 1},
 	}})
-	notifyStart(r, "old", time.Time{}) // discovery's first message
+	updateStart(r, "old", time.Time{}) // discovery's first message
 	return r
 }
 
@@ -44,12 +44,12 @@
 		t.Run(fmt.Sprint(skew), func(t *testing.T) {
 			r := newRouterWithList()
 			now := r.clock.Now()
-			notifyStart(r, "new", time.Now().Add(skew))
+			updateStart(r, "new", time.Now().Add(skew))
 			if at := startOf(r); at < now-tolerance || at > r.clock.Now() {
 				t.Errorf("got start of a new endpoint %v after now, want now", duration(at-now))
 			}
 			first := startOf(r)
-			notifyStart(r, "new", time.Now().Add(skew+time.Second))
+			updateStart(r, "new", time.Now().Add(skew+time.Second))
 			if at := startOf(r); at < first || at > r.clock.Now() {
 				t.Errorf("got start of a restarted endpoint %v after now, want a time from its first start to now", duration(at-now))
 			}
@@ -60,10 +60,10 @@
 // A server that restarts after its wall clock was set back by an hour is in slow start again.
 func TestRestartAfterClockWasSetBack(t *testing.T) {
 	r := newRouterWithList()
-	notifyStart(r, "new", time.Now())
+	updateStart(r, "new", time.Now())
 	first := startOf(r)
 	time.Sleep(2 * time.Millisecond)
-	notifyStart(r, "new", time.Now().Add(-time.Hour))
+	updateStart(r, "new", time.Now().Add(-time.Hour))
 	if second := startOf(r); second <= first {
 		t.Errorf("got start %d after a restart, want later than the previous start %d", second, first)
 	}
@@ -73,12 +73,12 @@
 func TestSameStartIsNotAnother(t *testing.T) {
 	r := newRouterWithList()
 	at := time.Now()
-	notifyStart(r, "new", at)
+	updateStart(r, "new", at)
 	first := startOf(r)
 	time.Sleep(2 * time.Millisecond)
-	notifyStart(r, "new", at)
-	notifyStart(r, "new", time.Time{})
-	notifyStart(r, "new", at)
+	updateStart(r, "new", at)
+	updateStart(r, "new", time.Time{})
+	updateStart(r, "new", at)
 	if again := startOf(r); again != first {
 		t.Errorf("got start %d after repeated reports, want %d", again, first)
 	}
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -47,13 +47,13 @@
 		Routes: []balancer.Route{{Objective: 2000, Timeout: 6000, Value: 1}}, Proxies: 4, MaxAttempts: 3,
 		Tick: 10, CacheAside: true, SlowStart: 50000, SlowStartInitialFraction: 0.3, SlowStartOverloadWindow: 20000, SlowStartOverloadMultiple: 3, MayCancel: true,
 	}
-	shadowTerms := config
-	shadowTerms.Routes = append([]balancer.Route{}, config.Routes...)
-	change(&shadowTerms)
+	shadowConfig := config
+	shadowConfig.Routes = append([]balancer.Route{}, config.Routes...)
+	change(&shadowConfig)
 	router := newTestRouter()
 	router.balancer = balancer.New(0, config, 1)
-	router.EnableShadow(&settings.Settings{Balancer: shadowTerms}, 1)
-	router.shadow.balancer = balancer.New(0, shadowTerms, 1)
+	router.EnableShadow(&settings.Settings{Balancer: shadowConfig}, 1)
+	router.shadow.balancer = balancer.New(0, shadowConfig, 1)
 	return &shadowTraffic{
 		router: router, random: rand.New(rand.NewPCG(1, 2)), finished: make([]bool, shadowRequests),
 	}
--- a/internal/proxy/slow_write_test.go
+++ b/internal/proxy/slow_write_test.go
@@ -15,9 +15,9 @@
 	"woodproxy/internal/wire"
 )
 
-// wholeRequest is a request that an origin has received completely.
-type wholeRequest struct {
-	told time.Duration // wait in the request's facts
+// completeRequest is a request that an origin has received completely.
+type completeRequest struct {
+	wait time.Duration // wait in the request's facts
 	at   time.Time     // time at which the last byte was received
 }
 
@@ -51,9 +51,9 @@
 // newPausingOrigin returns an origin that, on its first connection, pauses after the first byte of the request, and then
 // takes readTime to read a long value. It responds to the requests that it has read and sends them to the returned
 // channel.
-func newPausingOrigin(t *testing.T, pause, readTime time.Duration) (*fakeNode, <-chan wholeRequest) {
+func newPausingOrigin(t *testing.T, pause, readTime time.Duration) (*fakeNode, <-chan completeRequest) {
 	t.Helper()
-	received, first := make(chan wholeRequest, 10), make(chan struct{}, 1)
+	received, first := make(chan completeRequest, 10), make(chan struct{}, 1)
 	first <- struct{}{}
 	return &fakeNode{addr: listenWith(t, net.ListenConfig{Control: limitSegments}, func(conn net.Conn) {
 		_ = conn.(*net.TCPConn).SetReadBuffer(16 << 10) // if this fails, the larger buffer fails the test
@@ -79,7 +79,7 @@
 			if err != nil {
 				return
 			}
-			received <- wholeRequest{time.Duration(facts.WaitMilliseconds) * time.Millisecond, time.Now()}
+			received <- completeRequest{time.Duration(facts.WaitMilliseconds) * time.Millisecond, time.Now()}
 			if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"); err != nil {
 				return
 			}
@@ -110,11 +110,11 @@
 				t.Fatalf("got reply %q, error %v, want $5", line, err)
 			}
 			request := <-received
-			if excess := request.at.Add(request.told).Sub(sent.Add(wait)); excess > slack {
-				t.Errorf("got a wait of %v in the request, %v beyond the client's deadline, want at most %v", request.told, excess, slack)
+			if excess := request.at.Add(request.wait).Sub(sent.Add(wait)); excess > slack {
+				t.Errorf("got a wait of %v in the request, %v beyond the client's deadline, want at most %v", request.wait, excess, slack)
 			}
-			if request.told < (wait-request.at.Sub(began))/3 {
-				t.Errorf("got a wait of %v in the request, want at least a third of the remaining %v", request.told, wait-request.at.Sub(began))
+			if request.wait < (wait-request.at.Sub(began))/3 {
+				t.Errorf("got a wait of %v in the request, want at least a third of the remaining %v", request.wait, wait-request.at.Sub(began))
 			}
 		})
 	}
