--- a/internal/proxy/upstream_conn.go
+++ b/internal/proxy/upstream_conn.go
@@ -26,12 +26,12 @@
 // upstreamConn is one connection to a host and its goroutine, which is the only one to read from and write to the
 // connection. The goroutine ends with a call to the host's connClosed.
 type upstreamConn struct {
-	host    *upstreamHost
-	addr    string
-	reader  *bufio.Reader
-	header  []byte      // reused for each request
-	buffers net.Buffers // reused for each request
-	toldMS  int         // wait in milliseconds that was sent to the upstream with the attempt
+	host       *upstreamHost
+	addr       string
+	reader     *bufio.Reader
+	header     []byte      // reused for each request
+	buffers    net.Buffers // reused for each request
+	sentWaitMS int         // wait in milliseconds that was sent to the upstream with the attempt
 	// writeReserve is the part of the attempt's remaining time that is reserved for writing the request. The wait that
 	// is sent to the upstream is shorter than the remaining time by this reserve.
 	writeReserve time.Duration
@@ -95,7 +95,7 @@
 
 // run executes attempts, beginning with the given one, until the connection ends.
 func (u *upstreamConn) run(first *attempt) {
-	for next := first; next != nil && u.carry(next); {
+	for next := first; next != nil && u.runAttempt(next); {
 		next = u.awaitAttempt()
 	}
 	u.closeConn()
@@ -121,8 +121,8 @@
 	u.run(u.awaitAttempt())
 }
 
-// carry executes an attempt and reports its result to the host. It returns whether the connection can be reused.
-func (u *upstreamConn) carry(attempt *attempt) bool {
+// runAttempt executes an attempt and reports its result to the host. It returns whether the connection can be reused.
+func (u *upstreamConn) runAttempt(attempt *attempt) bool {
 	h := u.host
 	result := roundTripResult{attemptResult: attemptResult{outcome: balancer.Reset}} // the result if the call panics
 	runRecovered(h.router.log, h.router.counters, func() { result = u.roundTrip(attempt) })
--- a/internal/proxy/upstream_roundtrip.go
+++ b/internal/proxy/upstream_roundtrip.go
@@ -101,7 +101,7 @@
 		RequestEnded:     router.clock.instantOf(attempt.request.endedAt.Load()),
 		EndpointDraining: router.clock.instantOf(u.host.notReadySince.Load()),
 		DedupWindowEnd:   router.dedupWindowEnd(attempt),
-		ToldUntil:        now.Add(time.Duration(u.toldMS) * time.Millisecond),
+		ToldUntil:        now.Add(time.Duration(u.sentWaitMS) * time.Millisecond),
 		ClientUntil:      attempt.request.clientUntil(router.clock),
 	})
 }
@@ -202,8 +202,8 @@
 	}
 	remaining := duration(attempt.sentAt + attempt.timeout - h.router.clock.Now())
 	u.writeReserve = req.writeReserve(remaining, size)
-	u.toldMS = max(int((remaining-u.writeReserve)/time.Millisecond), 1)
-	facts := wire.AppendFacts(nil, req.facts, u.toldMS)
+	u.sentWaitMS = max(int((remaining-u.writeReserve)/time.Millisecond), 1)
+	facts := wire.AppendFacts(nil, req.facts, u.sentWaitMS)
 	if h.isOrigin {
 		u.header = wire.AppendOriginRequest(u.header[:0], u.addr, req.key, req.id, facts, size)
 	} else {
--- a/internal/soak/plants.go
+++ b/internal/soak/plants.go
@@ -41,7 +41,7 @@
 		{File: "internal/proxy/upstream_write.go", Old: "	if attempt.request.life.Finished() {\n		limit = pastDeadline", New: "	if attempt.request == nil {\n		limit = pastDeadline"},
 	}, nil, nil},
 	{"told-deadline", emulator.ToldDeadlineRule, []faultbuild.Patch{
-		{File: roundTripFile, Old: "	facts := wire.AppendFacts(nil, req.facts, u.toldMS)", New: "	facts := wire.AppendFacts(nil, req.facts, u.toldMS+400)"},
+		{File: roundTripFile, Old: "	facts := wire.AppendFacts(nil, req.facts, u.sentWaitMS)", New: "	facts := wire.AppendFacts(nil, req.facts, u.sentWaitMS+400)"},
 	}, nil, nil},
 	{"closed-unanswered", emulator.InvariantRule, []faultbuild.Patch{
 		{File: "internal/lifecycle/connection.go", Old: "	case c.PendingReplies > 0:\n		return RepliesPending\n	case c.Phase == PhaseOpen", New: "	case c.Phase == PhaseOpen"},
