--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -40,7 +40,7 @@
 	life    lifecycle.Request // state that determines whether another attempt may begin
 	endedAt atomic.Int64      // time of the final reply or of the client's departure, in nanoseconds of the router's clock; 0: neither
 
-	writeTime atomic.Int64 // longest time spent writing an attempt whose writing was then broken off, in nanoseconds
+	longestWrite atomic.Int64 // longest time spent writing an attempt whose writing was then broken off, in nanoseconds
 
 	// The reply, guarded by conn.mu.
 	ready  bool
--- a/internal/proxy/upstream_write.go
+++ b/internal/proxy/upstream_write.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// heldBackFrom is the minimum size in bytes of a request whose end is held back. Smaller requests fit into the
+	// holdBackMinSize is the minimum size in bytes of a request whose end is held back. Smaller requests fit into the
 	// socket buffer, so that they are written either at once or not at all.
-	heldBackFrom = 64 << 10
-	heldBack     = 2 // bytes held back
+	holdBackMinSize = 64 << 10
+	holdBackBytes   = 2 // bytes held back
 	// expectedWriteRate is the rate in bytes per second at which an upstream is expected to accept a long value, until a
 	// slower rate has been measured.
 	expectedWriteRate = 512 << 10
-	// maxExpectedPart is the maximum fraction of the remaining time that is reserved for the expected writing time, and
-	// maxReservePart the maximum fraction that is reserved in all, measured writing times included.
-	maxExpectedPart = 1.0 / 3
-	maxReservePart  = 2.0 / 3
+	// maxExpectedFraction is the maximum fraction of the remaining time that is reserved for the expected writing time, and
+	// maxReserveFraction the maximum fraction that is reserved in all, measured writing times included.
+	maxExpectedFraction = 1.0 / 3
+	maxReserveFraction  = 2.0 / 3
 )
 
 // writeReserve returns the time that is reserved for writing an attempt of size bytes with the given remaining time.
 // Writing may exceed the reserve by lifecycle.MaxWriteDelay. The wait that is sent to the upstream is shorter by the
 // reserve: an upstream begins a request when its last byte arrives, and counts the wait from then.
 func (r *request) writeReserve(remaining time.Duration, size int) time.Duration {
-	if size < heldBackFrom {
+	if size < holdBackMinSize {
 		return 0
 	}
-	expected := min(time.Duration(size)*time.Second/expectedWriteRate, time.Duration(float64(remaining)*maxExpectedPart))
-	measured := time.Duration(r.writeTime.Load()) * 5 / 4
-	return min(max(expected, measured), time.Duration(float64(remaining)*maxReservePart))
+	expected := min(time.Duration(size)*time.Second/expectedWriteRate, time.Duration(float64(remaining)*maxExpectedFraction))
+	measured := time.Duration(r.longestWrite.Load()) * 5 / 4
+	return min(max(expected, measured), time.Duration(float64(remaining)*maxReserveFraction))
 }
 
 // writeRequest writes a request, with its header and value gathered into one write. The end of a long request is held
@@ -62,13 +62,13 @@
 	if _, err = buffers.WriteTo(u.conn); err == nil && tail != nil {
 		conditions := u.conditions(attempt, until)
 		if refusal := conditions.MayComplete(began.Add(u.writeReserve)); !refusal.Permitted() {
-			attempt.request.noteWriteTime(time.Since(began))
+			attempt.request.recordWriteTime(time.Since(began))
 			return refusal, nil
 		}
 		_, err = u.conn.Write(tail)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) && limit.Before(until) && !attempt.request.life.Finished() && !attempt.cancelled.Load() {
-		attempt.request.noteWriteTime(time.Since(began))
+		attempt.request.recordWriteTime(time.Since(began))
 		return lifecycle.DeadlineOutdated, nil
 	}
 	return lifecycle.Permitted, err
@@ -81,11 +81,11 @@
 		size += len(b)
 	}
 	last := len(*buffers) - 1
-	if size < heldBackFrom || len((*buffers)[last]) < heldBack {
+	if size < holdBackMinSize || len((*buffers)[last]) < holdBackBytes {
 		return nil
 	}
 	end := (*buffers)[last]
-	cut := len(end) - heldBack
+	cut := len(end) - holdBackBytes
 	(*buffers)[last] = end[:cut]
 	return end[cut:]
 }
@@ -96,11 +96,11 @@
 	u.writing = nil
 }
 
-// noteWriteTime records the time spent writing an attempt whose writing was broken off, if it is the longest so far.
-func (r *request) noteWriteTime(took time.Duration) {
+// recordWriteTime records the time spent writing an attempt whose writing was broken off, if it is the longest so far.
+func (r *request) recordWriteTime(took time.Duration) {
 	for {
-		longest := r.writeTime.Load()
-		if int64(took) <= longest || r.writeTime.CompareAndSwap(longest, int64(took)) {
+		longest := r.longestWrite.Load()
+		if int64(took) <= longest || r.longestWrite.CompareAndSwap(longest, int64(took)) {
 			return
 		}
 	}
