--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -17,7 +17,7 @@
 	timeout     balancer.Time // counted from sentAt
 	startBefore balancer.Time // latest time at which the attempt may be written; 0: no limit
 	cancelled   atomic.Bool
-	cacheTicket negativecache.FetchToken // token of a fetch from the origin
+	fetchToken  negativecache.FetchToken // token of a fetch from the origin
 	notFound    bool                     // the origin has responded that the key is absent
 	streaming   bool                     // the value is being streamed; the router already counts the attempt as completed
 	conn        *upstreamConn            // connection that carries the attempt, or nil; accessed only by the host's goroutine
--- a/internal/proxy/duties.go
+++ b/internal/proxy/duties.go
@@ -30,7 +30,7 @@
 	router      *Router
 	list        *EndpointList
 	broadcast   dutyBroadcast
-	figures     atomic.Pointer[duties.Statistics]
+	stats       atomic.Pointer[duties.Statistics]
 	counters    *Counters
 	log         *zap.Logger
 	nodesStale  bool // the latest list of caches was dropped because the mailbox was full; accessed only by the router's goroutine
@@ -42,7 +42,7 @@
 		mailbox: make(mailbox, dutiesMailboxSize), assignments: duties.New(duties.Time(router.clock.Now()), config),
 		clock: router.clock, router: router, list: list, broadcast: broadcast, counters: router.counters, log: log,
 	}
-	d.figures.Store(&duties.Statistics{})
+	d.stats.Store(&duties.Statistics{})
 	router.duties, list.duties = d, d
 	return d
 }
@@ -53,14 +53,14 @@
 func (d *Duties) tick() {
 	d.router.mailbox.tryPost(d.router.reportEjections)
 	runRecovered(d.log, d.counters, func() { d.execute(d.assignments.Tick(d.now())) })
-	figures := d.assignments.Statistics()
-	d.figures.Store(&figures)
+	stats := d.assignments.Statistics()
+	d.stats.Store(&stats)
 }
 
 func (d *Duties) now() duties.Time { return duties.Time(d.clock.Now()) }
 
 // Stats returns the statistics of the duties as of the last tick.
-func (d *Duties) Stats() duties.Statistics { return *d.figures.Load() }
+func (d *Duties) Stats() duties.Statistics { return *d.stats.Load() }
 
 // SetMembers sets the list of proxies. catchingUp means that the list may still be incomplete.
 func (d *Duties) SetMembers(all []duties.Proxy, catchingUp bool) {
--- a/internal/proxy/negative_cache.go
+++ b/internal/proxy/negative_cache.go
@@ -33,7 +33,7 @@
 	broadcast    func(d *negativecache.Decision) // sends to other proxies, must not block; nil: there are no other proxies
 	writeDropped atomic.Bool                     // a write was not posted because the mailbox was full
 	sentWrites   atomic.Int64                    // write messages sent to other proxies
-	figures      atomic.Pointer[negativecache.Stats]
+	stats        atomic.Pointer[negativecache.Stats]
 }
 
 // NewNegativeCache returns the negative cache of a router. It must be called before the router's Run.
@@ -45,7 +45,7 @@
 		mailbox: make(mailbox, negativeCacheMailboxSize), cache: cache, table: cache.Table,
 		clock: router.clock, settings: router.settings, counters: router.counters, log: log, broadcast: broadcast,
 	}
-	n.figures.Store(&negativecache.Stats{})
+	n.stats.Store(&negativecache.Stats{})
 	router.negativeCache = n
 	return n
 }
@@ -60,8 +60,8 @@
 		n.cache.WriteReportLost()
 	}
 	n.execute(n.cache.Tick(n.now()))
-	figures := n.cache.Stats()
-	n.figures.Store(&figures)
+	stats := n.cache.Stats()
+	n.stats.Store(&stats)
 }
 
 func (n *NegativeCache) now() negativecache.Time { return negativecache.Time(n.clock.Now()) }
@@ -82,7 +82,7 @@
 func (n *NegativeCache) SentWriteMessages() int64 { return n.sentWrites.Load() }
 
 // Stats returns the cache's statistics as of its last tick.
-func (n *NegativeCache) Stats() negativecache.Stats { return *n.figures.Load() }
+func (n *NegativeCache) Stats() negativecache.Stats { return *n.stats.Load() }
 
 // SetMembers sets the list of proxies that may accept writes. configuredCount is the number of proxies that operators have
 // configured. catchingUp means that the list may still be incomplete.
@@ -131,13 +131,13 @@
 // beginFetch records that a read is about to be sent to the origin. It may be called on a nil cache.
 func (n *NegativeCache) beginFetch(attempt *attempt) {
 	if n != nil && attempt.request.value == nil {
-		attempt.cacheTicket = n.table.BeginFetch(xxhash.Sum64(attempt.request.key))
+		attempt.fetchToken = n.table.BeginFetch(xxhash.Sum64(attempt.request.key))
 	}
 }
 
 // recordMiss handles a response from the origin that the key is absent.
 func (n *NegativeCache) recordMiss(attempt *attempt) {
-	hash, token := xxhash.Sum64(attempt.request.key), attempt.cacheTicket
+	hash, token := xxhash.Sum64(attempt.request.key), attempt.fetchToken
 	tenant, ok := n.settings.Tenants[attempt.request.tenant]
 	if !ok {
 		tenant = -1
