--- a/internal/proxy/shadow.go
+++ b/internal/proxy/shadow.go
@@ -108,13 +108,13 @@
 	for i := range actual { // in the order of the decisions, unlike the map
 		if d := s.actual[actual[i].Request]; d != nil {
 			delete(s.actual, d.Request)
-			s.learn(now, d)
+			s.recordActual(now, d)
 		}
 	}
 }
 
-// learn updates the shadow with a decision of the balancer for which the shadow has no decision of its own.
-func (s *shadowBalancer) learn(now balancer.Time, actual *balancer.Decision) {
+// recordActual updates the shadow with a decision of the balancer for which the shadow has no decision of its own.
+func (s *shadowBalancer) recordActual(now balancer.Time, actual *balancer.Decision) {
 	if s.balancer.Decides(actual.Request) {
 		s.compareRequest(now, nil, actual)
 	} else if actual.Action == balancer.Send {
