--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -45,18 +45,18 @@
 	latestIndex   atomic.Int64   // latest index reported by discovery or another proxy; written by this goroutine
 }
 
-// NewEndpointList returns the endpoint list that watches discovery at an address. known is the list that this proxy had
+// NewEndpointList returns the endpoint list that watches discovery at an address. initial is the list that this proxy had
 // from before its start, which is passed to the router; nil means that there is none.
 func NewEndpointList(
-	addr string, known *wire.EndpointList, router *Router, seed uint64, counters *Counters, log *zap.Logger,
+	addr string, initial *wire.EndpointList, router *Router, seed uint64, counters *Counters, log *zap.Logger,
 ) *EndpointList {
 	l := &EndpointList{
 		mailbox: make(mailbox, endpointMailboxSize), addr: addr, router: router, firstMessage: make(chan struct{}),
 		random: rand.New(rand.NewPCG(seed, endpointRandomStream)), counters: counters, log: log,
 	}
 	update := endpointUpdate{whole: true, origin: listKnownAtStart}
-	if known != nil {
-		l.index, update.targets = known.Index, known.Endpoints
+	if initial != nil {
+		l.index, update.targets = initial.Index, initial.Endpoints
 	}
 	router.mailbox.post(func() {
 		router.endpoints = l
@@ -88,9 +88,9 @@
 // SetAddress changes the address of discovery. The watch of the old address stays in effect until the new address has
 // sent something, so that no event of the old address is lost when the new discovery is slow to start or the address is
 // wrong.
-func (l *EndpointList) SetAddress(addr string) { l.mailbox.post(func() { l.moveTo(addr) }) }
+func (l *EndpointList) SetAddress(addr string) { l.mailbox.post(func() { l.changeAddress(addr) }) }
 
-func (l *EndpointList) moveTo(addr string) {
+func (l *EndpointList) changeAddress(addr string) {
 	if addr == l.addr {
 		return
 	}
--- a/internal/proxy/host_index.go
+++ b/internal/proxy/host_index.go
@@ -10,12 +10,12 @@
 	"go.uber.org/zap"
 )
 
-// listOrigin is the source of an endpoint list or a change of it. It determines how start times of hosts are
+// listSource is the source of an endpoint list or a change of it. It determines how start times of hosts are
 // interpreted.
-type listOrigin uint8
+type listSource uint8
 
 const (
-	listChange       listOrigin = iota // a change: hosts that it reports as started are starting now
+	listChange       listSource = iota // a change: hosts that it reports as started are starting now
 	listFirstMessage                   // first list or change from discovery: hosts may have started before this process
 	listKnownAtStart                   // the list that this process started with: no host counts as new
 )
@@ -30,7 +30,7 @@
 // endpointUpdate is a change of the endpoint list.
 type endpointUpdate struct {
 	whole   bool // a complete list: hosts that are not in it have departed
-	origin  listOrigin
+	origin  listSource
 	targets []wire.Endpoint
 }
 
@@ -51,11 +51,11 @@
 // complete list, of departHosts or departSomeHosts.
 func (r *Router) beginUpdate() {
 	r.removeDeparted(r.clock.Now())
-	r.updates++
+	r.updateCount++
 }
 
 // updateSomeHosts applies entries of the endpoint list for about listCallTime, and returns the remaining ones.
-func (r *Router) updateSomeHosts(targets []wire.Endpoint, origin listOrigin) (remaining []wire.Endpoint) {
+func (r *Router) updateSomeHosts(targets []wire.Endpoint, origin listSource) (remaining []wire.Endpoint) {
 	for start := time.Now(); len(targets) > 0 && time.Since(start) < listCallTime; {
 		step := min(len(targets), maxHostsPerStep)
 		r.updateHosts(targets[:step], origin)
@@ -65,7 +65,7 @@
 }
 
 // updateHosts applies entries of the endpoint list. Entries that are equal to the current ones change nothing.
-func (r *Router) updateHosts(targets []wire.Endpoint, origin listOrigin) {
+func (r *Router) updateHosts(targets []wire.Endpoint, origin listSource) {
 	now := r.clock.Now()
 	var changed []*upstreamHost
 	for i := range targets {
@@ -73,7 +73,7 @@
 		if h == nil {
 			continue
 		}
-		h.updatedBy = r.updates
+		h.lastUpdate = r.updateCount
 		if isChanged {
 			changed = append(changed, h)
 		}
@@ -86,7 +86,7 @@
 // unlistedHosts returns the listed hosts that the current update, a complete list, does not contain.
 func (r *Router) unlistedHosts() (unlisted []*upstreamHost) {
 	for _, h := range r.hosts {
-		if h != nil && h.updatedBy != r.updates && h.departedAt == 0 {
+		if h != nil && h.lastUpdate != r.updateCount && h.departedAt == 0 {
 			unlisted = append(unlisted, h)
 		}
 	}
@@ -140,7 +140,7 @@
 
 // updateHost applies a host's entry of the endpoint list, and returns the host and whether its entry has changed. It
 // returns nil for a departed host that is not known.
-func (r *Router) updateHost(target wire.Endpoint, origin listOrigin, now balancer.Time) (h *upstreamHost, isChanged bool) {
+func (r *Router) updateHost(target wire.Endpoint, origin listSource, now balancer.Time) (h *upstreamHost, isChanged bool) {
 	if index, known := r.hostIndex[target.Name]; known {
 		return r.updateKnownHost(r.hosts[index], target, origin, now)
 	}
@@ -158,7 +158,7 @@
 }
 
 func (r *Router) updateKnownHost(
-	h *upstreamHost, target wire.Endpoint, origin listOrigin, now balancer.Time,
+	h *upstreamHost, target wire.Endpoint, origin listSource, now balancer.Time,
 ) (*upstreamHost, bool) {
 	if h.restartedBy(target) {
 		h.startedAt = startTime(target, origin, now)
@@ -194,7 +194,7 @@
 // reported while this process runs counts as happening now, even if the report is late: if the wall clocks of two
 // machines were compared, the slow start could be over before it began, or last for as long as the clocks differ. For
 // starts before this process, the wall clock is the only source.
-func startTime(target wire.Endpoint, origin listOrigin, now balancer.Time) balancer.Time {
+func startTime(target wire.Endpoint, origin listSource, now balancer.Time) balancer.Time {
 	switch {
 	case target.StartedAtUnixMilli == 0:
 		return 0
--- a/internal/proxy/router.go
+++ b/internal/proxy/router.go
@@ -18,8 +18,8 @@
 	// the mailboxes.
 	maxRequestsInFlight = 1024
 	routerMailboxSize   = 4 * maxRequestsInFlight
-	// targetsTimeout is the time for which Endpoints waits for a busy router.
-	targetsTimeout = 300 * time.Millisecond
+	// endpointsTimeout is the time for which Endpoints waits for a busy router.
+	endpointsTimeout = 300 * time.Millisecond
 	// unarmed is the initial period of timers that are reset before their first use.
 	unarmed = time.Hour
 )
@@ -48,7 +48,7 @@
 	freeHosts     []int           // indices of nil hosts
 	hostIndex     map[string]int  // index by name
 	departedHosts []*upstreamHost // keep their index until no request can refer to it; some may be listed again
-	updates       int             // number of updates of the endpoint list
+	updateCount   int             // number of updates of the endpoint list
 
 	dialer       dialer // for upstream connections
 	sockets      *budget
@@ -117,7 +117,7 @@
 	select {
 	case targets := <-reply:
 		return targets
-	case <-time.After(targetsTimeout):
+	case <-time.After(endpointsTimeout):
 		return nil
 	}
 }
--- a/internal/proxy/upstream_host.go
+++ b/internal/proxy/upstream_host.go
@@ -46,7 +46,7 @@
 	departedAt    balancer.Time // time at which the host left the endpoint list; 0: it is listed
 	inFlight      int           // number of attempts in flight
 	awaitsRemoval bool          // the host is in the router's departedHosts
-	updatedBy     int           // number of the latest update of the endpoint list that contained the host
+	lastUpdate    int           // number of the latest update of the endpoint list that contained the host
 
 	// Accessed only by the host's goroutine.
 	stopping       bool            // connections close after the attempt that they carry
