--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -191,7 +191,7 @@
 		l.index = event.Index
 	case l.previous:
 	default:
-		return // the watch was cancelled
+		return // the watch was canceled
 	}
 	l.counters.Lists.Add(1)
 	l.recordIndex(event.Index)
--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// silenceReader reads from a connection and fails after a time without input. The timeout applies to each read, so a
-// long list may take longer than it to arrive.
+// silenceReader reads from a connection and fails after a time without input. The timeout applies to each read, so the
+// arrival of a long list may take longer than the timeout.
 type silenceReader struct {
 	conn    net.Conn
 	timeout time.Duration
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -177,7 +177,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if c := newShadowTraffic(test.change).run(t); differences(c) == 0 || differences(c) > shadowRequests {
-				t.Errorf("%s: got no differences or more than requests: %s", test.name, c)
+				t.Errorf("%s: got no differences, or more than shadowRequests: %s", test.name, c)
 			}
 		})
 	}
--- a/internal/proxy/upstream_conn_test.go
+++ b/internal/proxy/upstream_conn_test.go
@@ -183,7 +183,7 @@
 	facts, err := wire.ParseFacts([]byte(received.facts))
 	if err != nil || facts.WaitMilliseconds > 5000-lateMS || facts.WaitMilliseconds < 1000 || string(facts.Tenant) != "x" ||
 		received.id != "missed" {
-		t.Errorf("got facts %q of request %s, error %v, want tenant x and a wait from 1000 to 4700 ms of request missed",
+		t.Errorf("got facts %q of request %s, error %v, want tenant x and a wait from 1000 to 5000-lateMS ms of request missed",
 			received.facts, received.id, err)
 	}
 }
--- a/internal/proxy/upstream_roundtrip.go
+++ b/internal/proxy/upstream_roundtrip.go
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// dial opens the connection. It fails if the attempt is canceled or until passes first.
+// dial opens the connection. It fails if the attempt is canceled first, or if the connection is not open by the time until.
 func (u *upstreamConn) dial(attempt *attempt, until time.Time) error {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
