--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -195,14 +195,14 @@
 	}
 	l.counters.Lists.Add(1)
 	l.recordIndex(event.Index)
-	targets := event.Endpoints
+	endpoints := event.Endpoints
 	if l.peerEndpoints != nil {
 		if watch == l.current {
-			l.peerEndpoints.notify(event.Index, event.Whole, targets)
+			l.peerEndpoints.notify(event.Index, event.Whole, endpoints)
 		}
-		targets = l.peerEndpoints.merge(event.Index, event.Whole, targets)
+		endpoints = l.peerEndpoints.merge(event.Index, event.Whole, endpoints)
 	}
-	update := endpointUpdate{whole: event.Whole, targets: targets}
+	update := endpointUpdate{whole: event.Whole, targets: endpoints}
 	if !l.receivedEvent {
 		l.receivedEvent, update.origin = true, listFirstMessage
 	}
--- a/internal/proxy/host_index.go
+++ b/internal/proxy/host_index.go
@@ -55,21 +55,21 @@
 }
 
 // updateSomeHosts applies entries of the endpoint list for about listCallTime, and returns the remaining ones.
-func (r *Router) updateSomeHosts(targets []wire.Endpoint, origin listSource) (remaining []wire.Endpoint) {
-	for start := time.Now(); len(targets) > 0 && time.Since(start) < listCallTime; {
-		step := min(len(targets), maxHostsPerStep)
-		r.updateHosts(targets[:step], origin)
-		targets = targets[step:]
+func (r *Router) updateSomeHosts(endpoints []wire.Endpoint, source listSource) (remaining []wire.Endpoint) {
+	for start := time.Now(); len(endpoints) > 0 && time.Since(start) < listCallTime; {
+		step := min(len(endpoints), maxHostsPerStep)
+		r.updateHosts(endpoints[:step], source)
+		endpoints = endpoints[step:]
 	}
-	return targets
+	return endpoints
 }
 
 // updateHosts applies entries of the endpoint list. Entries that are equal to the current ones change nothing.
-func (r *Router) updateHosts(targets []wire.Endpoint, origin listSource) {
+func (r *Router) updateHosts(endpoints []wire.Endpoint, source listSource) {
 	now := r.clock.Now()
 	var changed []*upstreamHost
-	for i := range targets {
-		h, isChanged := r.updateHost(targets[i], origin, now)
+	for i := range endpoints {
+		h, isChanged := r.updateHost(endpoints[i], source, now)
 		if h == nil {
 			continue
 		}
@@ -78,8 +78,8 @@
 			changed = append(changed, h)
 		}
 	}
-	if len(changed) > 0 || origin == listKnownAtStart {
-		r.hostsChanged(now, changed, origin == listKnownAtStart)
+	if len(changed) > 0 || source == listKnownAtStart {
+		r.hostsChanged(now, changed, source == listKnownAtStart)
 	}
 }
 
@@ -140,38 +140,38 @@
 
 // updateHost applies a host's entry of the endpoint list, and returns the host and whether its entry has changed. It
 // returns nil for a departed host that is not known.
-func (r *Router) updateHost(target wire.Endpoint, origin listSource, now balancer.Time) (h *upstreamHost, isChanged bool) {
-	if index, known := r.hostIndex[target.Name]; known {
-		return r.updateKnownHost(r.hosts[index], target, origin, now)
+func (r *Router) updateHost(endpoint wire.Endpoint, source listSource, now balancer.Time) (h *upstreamHost, isChanged bool) {
+	if index, known := r.hostIndex[endpoint.Name]; known {
+		return r.updateKnownHost(r.hosts[index], endpoint, source, now)
 	}
-	if target.Departed {
+	if endpoint.Departed {
 		return nil, false
 	}
-	h = r.addHost(target)
-	if origin != listKnownAtStart && target.StartedAtUnixMilli == 0 {
+	h = r.addHost(endpoint)
+	if source != listKnownAtStart && endpoint.StartedAtUnixMilli == 0 {
 		// The balancer, and the proxies that receive the host from this one, assume that it has just started.
-		target.StartedAtUnixMilli = int64(now / ticksPerMillisecond)
+		endpoint.StartedAtUnixMilli = int64(now / ticksPerMillisecond)
 	}
-	h.startedAt = startTime(target, origin, now)
-	r.setEndpoint(h, target, now)
+	h.startedAt = startTime(endpoint, source, now)
+	r.setEndpoint(h, endpoint, now)
 	return h, true
 }
 
 func (r *Router) updateKnownHost(
-	h *upstreamHost, target wire.Endpoint, origin listSource, now balancer.Time,
+	h *upstreamHost, endpoint wire.Endpoint, source listSource, now balancer.Time,
 ) (*upstreamHost, bool) {
-	if h.restartedBy(target) {
-		h.startedAt = startTime(target, origin, now)
+	if h.restartedBy(endpoint) {
+		h.startedAt = startTime(endpoint, source, now)
 	} else {
-		target.StartedAtUnixMilli = h.endpoint.StartedAtUnixMilli
+		endpoint.StartedAtUnixMilli = h.endpoint.StartedAtUnixMilli
 	}
-	if (target.Address == "" || target.FromPeer) && h.endpoint.Address != "" {
-		target.Address = h.endpoint.Address
+	if (endpoint.Address == "" || endpoint.FromPeer) && h.endpoint.Address != "" {
+		endpoint.Address = h.endpoint.Address
 	}
-	if target == h.endpoint && target.Departed == (h.departedAt != 0) {
+	if endpoint == h.endpoint && endpoint.Departed == (h.departedAt != 0) {
 		return h, false
 	}
-	r.setEndpoint(h, target, now)
+	r.setEndpoint(h, endpoint, now)
 	return h, true
 }
 
@@ -179,13 +179,13 @@
 // in order, so any different start time from it is a restart, even an earlier one: the server's wall clock may have been
 // set back. Reports from peers may be outdated, so only a later start time counts. Discovery sends 0 for a start that was
 // long ago.
-func (h *upstreamHost) restartedBy(target wire.Endpoint) bool {
+func (h *upstreamHost) restartedBy(endpoint wire.Endpoint) bool {
 	known := h.endpoint.StartedAtUnixMilli
 	switch {
-	case target.StartedAtUnixMilli == 0 || target.StartedAtUnixMilli == known:
+	case endpoint.StartedAtUnixMilli == 0 || endpoint.StartedAtUnixMilli == known:
 		return false
-	case target.FromPeer:
-		return target.StartedAtUnixMilli > known
+	case endpoint.FromPeer:
+		return endpoint.StartedAtUnixMilli > known
 	}
 	return true
 }
@@ -194,44 +194,44 @@
 // reported while this process runs counts as happening now, even if the report is late: if the wall clocks of two
 // machines were compared, the slow start could be over before it began, or last for as long as the clocks differ. For
 // starts before this process, the wall clock is the only source.
-func startTime(target wire.Endpoint, origin listSource, now balancer.Time) balancer.Time {
+func startTime(endpoint wire.Endpoint, source listSource, now balancer.Time) balancer.Time {
 	switch {
-	case target.StartedAtUnixMilli == 0:
+	case endpoint.StartedAtUnixMilli == 0:
 		return 0
-	case origin != listChange:
-		return min(balancer.Time(target.StartedAtUnixMilli)*ticksPerMillisecond, now)
+	case source != listChange:
+		return min(balancer.Time(endpoint.StartedAtUnixMilli)*ticksPerMillisecond, now)
 	}
 	return now
 }
 
 // addHost creates a host and assigns it a free index.
-func (r *Router) addHost(target wire.Endpoint) *upstreamHost {
+func (r *Router) addHost(endpoint wire.Endpoint) *upstreamHost {
 	index := len(r.hosts)
 	if n := len(r.freeHosts); n > 0 {
 		index, r.freeHosts = r.freeHosts[n-1], r.freeHosts[:n-1]
 	} else {
 		r.hosts = append(r.hosts, nil)
 	}
-	r.hostIndex[target.Name] = index
-	r.hosts[index] = newUpstreamHost(r, index, target.Name, r.isOrigin(target))
+	r.hostIndex[endpoint.Name] = index
+	r.hosts[index] = newUpstreamHost(r, index, endpoint.Name, r.isOrigin(endpoint))
 	r.log.Info("new endpoint",
-		zap.Int("node", index), zap.String("peer", target.Name), zap.String("at", target.Address))
+		zap.Int("node", index), zap.String("peer", endpoint.Name), zap.String("at", endpoint.Address))
 	return r.hosts[index]
 }
 
-func (r *Router) isOrigin(target wire.Endpoint) bool {
-	return r.settings.OriginKind != "" && target.Kind == r.settings.OriginKind
+func (r *Router) isOrigin(endpoint wire.Endpoint) bool {
+	return r.settings.OriginKind != "" && endpoint.Kind == r.settings.OriginKind
 }
 
 // setEndpoint replaces the host's entry of the endpoint list.
-func (r *Router) setEndpoint(h *upstreamHost, target wire.Endpoint, now balancer.Time) {
-	h.endpoint = target
-	if known := h.addr.Load(); target.Address != "" && (known == nil || *known != target.Address) {
-		address := target.Address
+func (r *Router) setEndpoint(h *upstreamHost, endpoint wire.Endpoint, now balancer.Time) {
+	h.endpoint = endpoint
+	if known := h.addr.Load(); endpoint.Address != "" && (known == nil || *known != endpoint.Address) {
+		address := endpoint.Address
 		h.addr.Store(&address)
 	}
-	h.setReady(target.Ready)
-	if !target.Departed {
+	h.setReady(endpoint.Ready)
+	if !endpoint.Departed {
 		h.departedAt = 0
 	} else {
 		r.markDeparted(h, now)
@@ -250,14 +250,14 @@
 
 // listing returns a host as the balancer's endpoint.
 func (r *Router) listing(h *upstreamHost) balancer.Endpoint {
-	target := &h.endpoint
-	zone, ok := r.settings.Zones[target.Zone]
+	endpoint := &h.endpoint
+	zone, ok := r.settings.Zones[endpoint.Zone]
 	if !ok {
 		zone = -1
 	}
 	return balancer.Endpoint{
-		Index: h.index, Name: target.Name, Origin: r.isOrigin(*target), Ready: target.Ready,
-		StartedAt: h.startedAt, Weight: target.Weight, Zone: zone, Cell: target.Cell,
+		Index: h.index, Name: endpoint.Name, Origin: r.isOrigin(*endpoint), Ready: endpoint.Ready,
+		StartedAt: h.startedAt, Weight: endpoint.Weight, Zone: zone, Cell: endpoint.Cell,
 	}
 }
 
@@ -283,13 +283,13 @@
 	})
 }
 
-// listedTargets returns the entries of the hosts that are listed.
-func (r *Router) listedTargets() []wire.Endpoint {
-	var targets []wire.Endpoint
+// listedEndpoints returns the entries of the hosts that are listed.
+func (r *Router) listedEndpoints() []wire.Endpoint {
+	var endpoints []wire.Endpoint
 	for _, h := range r.hosts {
 		if h != nil && h.departedAt == 0 {
-			targets = append(targets, h.endpoint)
+			endpoints = append(endpoints, h.endpoint)
 		}
 	}
-	return targets
+	return endpoints
 }
--- a/internal/proxy/peer_endpoints.go
+++ b/internal/proxy/peer_endpoints.go
@@ -18,7 +18,7 @@
 // used if its index is later than the index of this proxy's discovery. An endpoint that this proxy's discovery has
 // reported as draining stays so until this proxy's discovery reports otherwise, regardless of other proxies.
 type peerEndpoints struct {
-	notify func(index int64, whole bool, list []wire.Endpoint) // sends to other proxies; must not block
+	notify func(index int64, complete bool, list []wire.Endpoint) // sends to other proxies; must not block
 
 	mu       sync.Mutex
 	incoming map[string]peerUpdate // updates to be applied, by name; cleared by the list's goroutine
@@ -29,7 +29,7 @@
 	complete bool                     // this proxy's discovery has sent a complete list
 }
 
-func newPeerEndpoints(notify func(index int64, whole bool, list []wire.Endpoint)) *peerEndpoints {
+func newPeerEndpoints(notify func(index int64, complete bool, list []wire.Endpoint)) *peerEndpoints {
 	return &peerEndpoints{
 		notify:   notify,
 		incoming: map[string]peerUpdate{}, newer: map[string]peerUpdate{}, local: map[string]wire.Endpoint{},
@@ -38,7 +38,7 @@
 
 // SetPeerNotifier sets the function that sends lists and changes from discovery to other proxies. The function must not
 // block. SetPeerNotifier must be called before Run.
-func (l *EndpointList) SetPeerNotifier(notify func(index int64, whole bool, list []wire.Endpoint)) {
+func (l *EndpointList) SetPeerNotifier(notify func(index int64, complete bool, list []wire.Endpoint)) {
 	l.peerEndpoints = newPeerEndpoints(notify)
 }
 
@@ -118,8 +118,8 @@
 
 // merge applies a list or change from this proxy's discovery at an index, and returns it with the endpoints replaced or
 // added for which other proxies have reported a later state.
-func (p *peerEndpoints) merge(index int64, whole bool, list []wire.Endpoint) []wire.Endpoint {
-	if whole {
+func (p *peerEndpoints) merge(index int64, complete bool, list []wire.Endpoint) []wire.Endpoint {
+	if complete {
 		p.complete = true
 		clear(p.local)
 	}
@@ -131,18 +131,18 @@
 	listed := map[string]bool{}
 	merged := slices.Clone(list)
 	for i := range merged {
-		target := &merged[i]
-		listed[target.Name] = true
-		p.local[target.Name] = *target
-		if update, ok := p.newer[target.Name]; ok && target.Ready {
-			address := target.Address // another proxy may reach the endpoint at another address
-			*target = update.Endpoint
+		endpoint := &merged[i]
+		listed[endpoint.Name] = true
+		p.local[endpoint.Name] = *endpoint
+		if update, ok := p.newer[endpoint.Name]; ok && endpoint.Ready {
+			address := endpoint.Address // another proxy may reach the endpoint at another address
+			*endpoint = update.Endpoint
 			if address != "" {
-				target.Address = address
+				endpoint.Address = address
 			}
 		}
 	}
-	if whole {
+	if complete {
 		merged = append(merged, p.newerUnlisted(listed)...)
 	}
 	return merged
@@ -150,12 +150,12 @@
 
 // newerUnlisted returns the endpoints, sorted by name, that only other proxies have reported so far.
 func (p *peerEndpoints) newerUnlisted(listed map[string]bool) []wire.Endpoint {
-	var targets []wire.Endpoint
+	var endpoints []wire.Endpoint
 	for name, update := range p.newer {
 		if !listed[name] && !update.Departed {
-			targets = append(targets, update.Endpoint)
+			endpoints = append(endpoints, update.Endpoint)
 		}
 	}
-	slices.SortFunc(targets, func(a, b wire.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
-	return targets
+	slices.SortFunc(endpoints, func(a, b wire.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
+	return endpoints
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -281,24 +281,24 @@
 	}
 	p.listener.SetLimits(100, 100)
 	p.listener.Open()
-	update := endpointUpdate{whole: true, origin: listKnownAtStart, targets: targetsOf(nodes)}
+	update := endpointUpdate{whole: true, origin: listKnownAtStart, targets: endpointsOf(nodes)}
 	p.router.mailbox.post(func() { p.router.updateEndpoints(update) })
 	go p.router.Run()
 	go p.listener.Run()
 	return p
 }
 
-// targetsOf returns the endpoint list of nodes, the last of which is the origin.
-func targetsOf(nodes []*fakeNode) []wire.Endpoint {
-	var targets []wire.Endpoint
+// endpointsOf returns the endpoint list of nodes, the last of which is the origin.
+func endpointsOf(nodes []*fakeNode) []wire.Endpoint {
+	var endpoints []wire.Endpoint
 	for i, node := range nodes {
-		target := wire.Endpoint{Name: fmt.Sprint("c", i), Address: node.addr, Kind: "std", Ready: true, Weight: 1}
+		endpoint := wire.Endpoint{Name: fmt.Sprint("c", i), Address: node.addr, Kind: "std", Ready: true, Weight: 1}
 		if i == len(nodes)-1 {
-			target.Name, target.Kind = "o1", "origin"
+			endpoint.Name, endpoint.Kind = "o1", "origin"
 		}
-		targets = append(targets, target)
+		endpoints = append(endpoints, endpoint)
 	}
-	return targets
+	return endpoints
 }
 
 // dial returns a client connection to the proxy.
--- a/internal/proxy/router.go
+++ b/internal/proxy/router.go
@@ -111,12 +111,12 @@
 // Endpoints returns the endpoint list as the balancer has it, or nil if the router is too busy to respond in time.
 func (r *Router) Endpoints() []wire.Endpoint {
 	reply := make(chan []wire.Endpoint, 1)
-	if !r.mailbox.tryPost(func() { reply <- r.listedTargets() }) {
+	if !r.mailbox.tryPost(func() { reply <- r.listedEndpoints() }) {
 		return nil
 	}
 	select {
-	case targets := <-reply:
-		return targets
+	case endpoints := <-reply:
+		return endpoints
 	case <-time.After(endpointsTimeout):
 		return nil
 	}
--- a/internal/proxy/router_test.go
+++ b/internal/proxy/router_test.go
@@ -56,15 +56,15 @@
 func TestDepartedHostsAreRemoved(t *testing.T) {
 	router := newTestRouter()
 	router.settings.LongestTimeout = 30
-	target := func(i int) wire.Endpoint {
+	endpoint := func(i int) wire.Endpoint {
 		return wire.Endpoint{Name: fmt.Sprint("c", i), Address: "127.0.0.1:1", Ready: true}
 	}
-	router.updateEndpoints(endpointUpdate{whole: true, origin: listKnownAtStart, targets: []wire.Endpoint{target(0), target(1)}})
+	router.updateEndpoints(endpointUpdate{whole: true, origin: listKnownAtStart, targets: []wire.Endpoint{endpoint(0), endpoint(1)}})
 	before := runtime.NumGoroutine()
 	for i := 2; i < 60; i++ {
-		gone := target(i - 2)
-		gone.Ready, gone.Departed = false, true
-		router.updateEndpoints(endpointUpdate{targets: []wire.Endpoint{gone, target(i)}})
+		departed := endpoint(i - 2)
+		departed.Ready, departed.Departed = false, true
+		router.updateEndpoints(endpointUpdate{targets: []wire.Endpoint{departed, endpoint(i)}})
 		time.Sleep(4 * time.Millisecond)
 	}
 	if len(router.hostIndex) > 5 || len(router.hosts) > 5 {
@@ -74,8 +74,8 @@
 		t.Errorf("got %d goroutines, want at most 5 more than the %d at the start", n, before)
 	}
 	// A listed host does not count as departed, neither in a complete list nor after an update with another host.
-	router.updateEndpoints(endpointUpdate{whole: true, targets: []wire.Endpoint{target(58), target(59)}})
-	router.updateEndpoints(endpointUpdate{targets: []wire.Endpoint{target(58)}})
+	router.updateEndpoints(endpointUpdate{whole: true, targets: []wire.Endpoint{endpoint(58), endpoint(59)}})
+	router.updateEndpoints(endpointUpdate{targets: []wire.Endpoint{endpoint(58)}})
 	if router.hosts[router.hostIndex["c59"]].departedAt != 0 || router.hosts[router.hostIndex["c58"]].departedAt != 0 {
 		t.Error("a listed host counts as departed")
 	}
--- a/internal/soak/plants.go
+++ b/internal/soak/plants.go
@@ -48,7 +48,7 @@
 	}, []string{"restart", "silent"}, nil},
 	{"drain-ignored", emulator.DrainRule, []faultbuild.Patch{
 		{File: "internal/proxy/host_index.go", Old: "	h.ready.Store(ready)", New: "	h.ready.Store(ready || h.departedAt == 0)"},
-		{File: "internal/proxy/host_index.go", Old: "Ready: target.Ready,", New: "Ready: true,"},
+		{File: "internal/proxy/host_index.go", Old: "Ready: endpoint.Ready,", New: "Ready: true,"},
 	}, []string{"replace"}, nil},
 	{"second-effect", emulator.SingleEffectRule, []faultbuild.Patch{
 		{File: "balancer/retry.go", Old: "	return route.Effect != Retriable && !isDropped", New: "	return isDropped && false"},
