--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,32 +1,33 @@
 package balancer
 
-// AnswerStarted reports that the answer has begun. From then on the request succeeds or fails with that attempt.
-func (b *Balancer) AnswerStarted(now Time, index int) []Decision {
+// ReplyStarted reports that the reply to a request has begun. From then on the request succeeds or fails with the
+// attempt that delivers it.
+func (b *Balancer) ReplyStarted(now Time, index int) []Decision {
 	b.begin(now)
 	if index < len(b.requests) && b.requests[index].live {
 		b.requests[index].streaming = true
 		b.clearDeadline(index)
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
-// ClientGone reports that the client went away; nothing is owed to it any more.
+// ClientGone reports that the client has disconnected and needs no reply any more.
 func (b *Balancer) ClientGone(now Time, index int) []Decision {
 	b.begin(now)
 	if index < len(b.requests) && b.requests[index].live {
 		b.finish(index)
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
-// TimerFired reports that the time has come for which a decision asked.
+// TimerFired reports that the timer of the latest SetTimer decision has fired.
 func (b *Balancer) TimerFired(now Time) []Decision {
 	b.begin(now)
-	b.wakeAt = never
-	return b.settle()
+	b.timerAt = never
+	return b.applyRules()
 }
 
-// UpdateEndpoints takes the endpoint list or a change of it.
+// UpdateEndpoints applies the endpoint list or a change to it.
 func (b *Balancer) UpdateEndpoints(now Time, update EndpointUpdate) []Decision {
 	b.begin(now)
 	var changed []int
@@ -41,10 +42,10 @@
 	if b.pollsList && update.First {
 		b.pollList()
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
-// removeUnlisted takes endpoints that are not listed any more off the ring, and returns which.
+// removeUnlisted marks endpoints that are not listed as not ready and returns their indices.
 func (b *Balancer) removeUnlisted(listed []Endpoint) (removed []int) {
 	b.visitMark++
 	for i := range listed {
@@ -61,21 +62,21 @@
 	return removed
 }
 
-// SetQuotaShare sets the part of all proxies' traffic that this proxy may send from now on, in (0, 1]; it begins as
-// an even one. What has been learnt of the origin's limit is scaled with it, so that the sum over proxies
-// stays.
-func (b *Balancer) SetQuotaShare(now Time, part float64) []Decision {
+// SetQuotaShare sets the fraction of all proxies' traffic that this proxy may send, in (0, 1]; initially it is the same
+// for all proxies. The adapted concurrency limit at the origin is scaled with it, so that the sum over all proxies does
+// not change.
+func (b *Balancer) SetQuotaShare(now Time, quotaShare float64) []Decision {
 	b.begin(now)
-	factor := part / b.quotaShare
-	b.quotaShare = part
-	b.origin.scale(part, factor)
+	factor := quotaShare / b.quotaShare
+	b.quotaShare = quotaShare
+	b.origin.scale(quotaShare, factor)
 	for tenant := range b.quota.rates {
 		b.quota.rates[tenant] *= factor
 	}
-	return b.settle()
+	return b.applyRules()
 }
 
-// CapDeadlines moves all deadlines to the given time at the latest, since the process stops then.
+// CapDeadlines limits all deadlines to the given time, at which the process stops.
 func (b *Balancer) CapDeadlines(now, until Time) []Decision {
 	b.begin(now)
 	for i := range b.requests {
@@ -86,5 +87,5 @@
 			b.setDeadline(i, min(request.nextCheckAt, request.giveUpAt))
 		}
 	}
-	return b.settle()
+	return b.applyRules()
 }
--- a/duties/suspicion.go
+++ b/duties/suspicion.go
@@ -1,26 +1,26 @@
 package duties
 
-// minSilenceReports is how many proxies have to report that a node does not answer before this one suspects it: a
-// single proxy may lie, or be the one that is cut off.
-const minSilenceReports = 2
+// minFailureReports is the minimum number of other proxies that have to report a node as not responding before this
+// proxy suspects it. A single proxy may send false reports, or may itself have lost its connection to the node.
+const minFailureReports = 2
 
-// suspicion turns other proxies' reports into hints about nodes that this proxy has not ejected itself.
+// suspicion derives hints from other proxies' reports, on nodes that this proxy has not ejected itself.
 type suspicion struct {
 	view      *fleetView
 	decisions *decisionList
 }
 
-// reported handles another proxy's report on a probe. A proxy that repeats itself within the report window counts
-// once.
+// reported handles a probe report from another proxy. Several reports of failure from the same proxy within the report
+// window count once.
 func (s *suspicion) reported(n *node, proxy string, at Time, outcome ProbeOutcome) {
-	n.silence = n.silence.since(s.view.oldestReport())
+	n.failureReports = n.failureReports.since(s.view.oldestReport())
 	switch {
-	case outcome == ProbeSucceeded && len(n.silence) > 0:
-		n.silence = n.silence[:0]
+	case outcome == ProbeSucceeded && len(n.failureReports) > 0:
+		n.failureReports = n.failureReports[:0]
 		s.decisions.add(Decision{Action: SetSuspicion, Node: n.name})
-	case outcome == ProbeFailed && !n.silence.includes(proxy) && len(n.silence) < maxRecentReports:
-		n.silence = append(n.silence, timedReport{proxy, at})
-		if len(n.silence) >= minSilenceReports && !n.ejected {
+	case outcome == ProbeFailed && !n.failureReports.includes(proxy) && len(n.failureReports) < maxRecentReports:
+		n.failureReports = append(n.failureReports, timedReport{proxy, at})
+		if len(n.failureReports) >= minFailureReports && !n.ejected {
 			s.decisions.add(Decision{Action: SetSuspicion, Node: n.name, Enabled: true})
 		}
 	}
--- a/internal/proxy/request_slot.go
+++ b/internal/proxy/request_slot.go
@@ -171,7 +171,7 @@
 	}
 	r.deliver(attempt, result)
 	balancerResult := balancer.AttemptResult{
-		Request: attempt.slot, Endpoint: attempt.host, Outcome: result.outcome, Latency: now - attempt.sentAt, Answered: s.finished,
+		Request: attempt.slot, Endpoint: attempt.host, Outcome: result.outcome, Latency: now - attempt.sentAt, Replied: s.finished,
 	}
 	r.zoneAttemptFinished(attempt.host, result.outcome, balancerResult.Latency)
 	wasEjected := r.balancer.IsEjected(attempt.host)
--- a/internal/simnet/zonedfleet.go
+++ b/internal/simnet/zonedfleet.go
@@ -70,7 +70,7 @@
 		Zone:                     z.ZoneOf(proxy),
 		ShortestObjective:        zonehealth.Second / 2,
 		SilenceTimeout:           3 * zonehealth.Second / 10,
-		VoteShare:                0.2,
+		VoteFraction:             0.2,
 		ConfirmationTime:         zonehealth.Second / 5,
 		HoldDownTime:             2 * zonehealth.Second,
 		MaxHoldDownTime:          60 * zonehealth.Second,
@@ -199,7 +199,7 @@
 
 // ServedFraction is the fraction of a zone's keys that a proxy serves there.
 func (z *ZonedFleet) ServedFraction(proxy, zone int) float64 {
-	return z.zoneStatus(proxy, zone).OpenShare
+	return z.zoneStatus(proxy, zone).ServedFraction
 }
 
 // Verdict is the verdict on a zone that a proxy acts on.
@@ -214,5 +214,5 @@
 			return status
 		}
 	}
-	return zonehealth.ZoneStatus{OpenShare: 1}
+	return zonehealth.ZoneStatus{ServedFraction: 1}
 }
