--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -54,7 +54,7 @@
 		mailbox: make(mailbox, endpointMailboxSize), addr: addr, router: router, firstMessage: make(chan struct{}),
 		random: rand.New(rand.NewPCG(seed, endpointRandomStream)), counters: counters, log: log,
 	}
-	update := endpointUpdate{whole: true, origin: listKnownAtStart}
+	update := endpointUpdate{complete: true, origin: listKnownAtStart}
 	if initial != nil {
 		l.index, update.targets = initial.Index, initial.Endpoints
 	}
@@ -202,7 +202,7 @@
 		}
 		endpoints = l.peerEndpoints.merge(event.Index, event.Whole, endpoints)
 	}
-	update := endpointUpdate{whole: event.Whole, targets: endpoints}
+	update := endpointUpdate{complete: event.Whole, targets: endpoints}
 	if !l.receivedEvent {
 		l.receivedEvent, update.origin = true, listFirstMessage
 	}
@@ -228,7 +228,7 @@
 		remaining = nil // ends the loop if the call panics
 		l.callRouter(func() { remaining = r.updateSomeHosts(batch, update.origin) })
 	}
-	if update.whole {
+	if update.complete {
 		l.departUnlisted()
 	}
 	l.callRouter(r.updateDutyNodes)
--- a/internal/proxy/host_index.go
+++ b/internal/proxy/host_index.go
@@ -29,9 +29,9 @@
 
 // endpointUpdate is a change of the endpoint list.
 type endpointUpdate struct {
-	whole   bool // a complete list: hosts that are not in it have departed
-	origin  listSource
-	targets []wire.Endpoint
+	complete bool // a complete list: hosts that are not in it have departed
+	origin   listSource
+	targets  []wire.Endpoint
 }
 
 // updateEndpoints applies a change of the endpoint list in one call.
@@ -41,7 +41,7 @@
 	}
 	r.beginUpdate()
 	r.updateHosts(update.targets, update.origin)
-	if update.whole {
+	if update.complete {
 		r.departHosts(r.unlistedHosts())
 	}
 	r.updateDutyNodes()
--- a/internal/proxy/list_latency_test.go
+++ b/internal/proxy/list_latency_test.go
@@ -13,7 +13,7 @@
 
 // fleetList returns a complete list of servers. The names of six in ten of them contain the generation.
 func fleetList(servers, generation int) endpointUpdate {
-	update := endpointUpdate{whole: true}
+	update := endpointUpdate{complete: true}
 	for i := range servers {
 		name := fmt.Sprint("c", i)
 		if i%10 < 6 {
