--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -54,7 +54,7 @@
 		mailbox: make(mailbox, endpointMailboxSize), addr: addr, router: router, firstMessage: make(chan struct{}),
 		random: rand.New(rand.NewPCG(seed, endpointRandomStream)), counters: counters, log: log,
 	}
-	update := endpointUpdate{complete: true, origin: listKnownAtStart}
+	update := endpointUpdate{complete: true, source: listKnownAtStart}
 	if initial != nil {
 		l.index, update.targets = initial.Index, initial.Endpoints
 	}
@@ -204,7 +204,7 @@
 	}
 	update := endpointUpdate{complete: event.Whole, targets: endpoints}
 	if !l.receivedEvent {
-		l.receivedEvent, update.origin = true, listFirstMessage
+		l.receivedEvent, update.source = true, listFirstMessage
 	}
 	l.updateRouter(update)
 }
@@ -226,7 +226,7 @@
 	for remaining := update.targets; len(remaining) > 0; {
 		batch := remaining
 		remaining = nil // ends the loop if the call panics
-		l.callRouter(func() { remaining = r.updateSomeHosts(batch, update.origin) })
+		l.callRouter(func() { remaining = r.updateSomeHosts(batch, update.source) })
 	}
 	if update.complete {
 		l.departUnlisted()
--- a/internal/proxy/host_index.go
+++ b/internal/proxy/host_index.go
@@ -30,17 +30,17 @@
 // endpointUpdate is a change of the endpoint list.
 type endpointUpdate struct {
 	complete bool // a complete list: hosts that are not in it have departed
-	origin   listSource
+	source   listSource
 	targets  []wire.Endpoint
 }
 
 // updateEndpoints applies a change of the endpoint list in one call.
 func (r *Router) updateEndpoints(update endpointUpdate) {
 	if len(r.hosts) == 0 { // without known hosts, new ones can't be told from old ones
-		update.origin = listKnownAtStart
+		update.source = listKnownAtStart
 	}
 	r.beginUpdate()
-	r.updateHosts(update.targets, update.origin)
+	r.updateHosts(update.targets, update.source)
 	if update.complete {
 		r.departHosts(r.unlistedHosts())
 	}
--- a/internal/proxy/router_test.go
+++ b/internal/proxy/router_test.go
@@ -59,7 +59,7 @@
 	endpoint := func(i int) wire.Endpoint {
 		return wire.Endpoint{Name: fmt.Sprint("c", i), Address: "127.0.0.1:1", Ready: true}
 	}
-	router.updateEndpoints(endpointUpdate{complete: true, origin: listKnownAtStart, targets: []wire.Endpoint{endpoint(0), endpoint(1)}})
+	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, targets: []wire.Endpoint{endpoint(0), endpoint(1)}})
 	before := runtime.NumGoroutine()
 	for i := 2; i < 60; i++ {
 		departed := endpoint(i - 2)
