--- a/internal/proxy/call_queue_test.go
+++ b/internal/proxy/call_queue_test.go
@@ -20,7 +20,7 @@
 		targets[i] = wire.Endpoint{Name: fmt.Sprint("c", i), Address: "127.0.0.1:1", Ready: true}
 	}
 	before := runtime.NumGoroutine()
-	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, targets: targets})
+	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, endpoints: targets})
 	if n := runtime.NumGoroutine(); n > before+5 {
 		t.Errorf("got %d goroutines for %d servers, had %d before", n, servers, before)
 	}
@@ -96,7 +96,7 @@
 	router := newTestRouter()
 	update := endpointUpdate{complete: true}
 	for i := range servers {
-		update.targets = append(update.targets, wire.Endpoint{Name: fmt.Sprint("c", i), Address: "127.0.0.1:1", Ready: true})
+		update.endpoints = append(update.endpoints, wire.Endpoint{Name: fmt.Sprint("c", i), Address: "127.0.0.1:1", Ready: true})
 	}
 	router.updateEndpoints(update)
 	last, ended := router.hosts[servers-1], make(chan struct{})
@@ -128,7 +128,7 @@
 	}
 	before := liveHeap()
 	router := newTestRouter()
-	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, targets: targets})
+	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, endpoints: targets})
 	each := (liveHeap() - before) / servers
 	runtime.KeepAlive(router)
 	t.Logf("%d bytes each", each)
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -56,7 +56,7 @@
 	}
 	update := endpointUpdate{complete: true, source: listKnownAtStart}
 	if initial != nil {
-		l.index, update.targets = initial.Index, initial.Endpoints
+		l.index, update.endpoints = initial.Index, initial.Endpoints
 	}
 	router.mailbox.post(func() {
 		router.endpoints = l
@@ -202,7 +202,7 @@
 		}
 		endpoints = l.peerEndpoints.merge(event.Index, event.Whole, endpoints)
 	}
-	update := endpointUpdate{complete: event.Whole, targets: endpoints}
+	update := endpointUpdate{complete: event.Whole, endpoints: endpoints}
 	if !l.receivedEvent {
 		l.receivedEvent, update.source = true, listFirstMessage
 	}
@@ -223,7 +223,7 @@
 	if isFirst {
 		return
 	}
-	for remaining := update.targets; len(remaining) > 0; {
+	for remaining := update.endpoints; len(remaining) > 0; {
 		batch := remaining
 		remaining = nil // ends the loop if the call panics
 		l.callRouter(func() { remaining = r.updateSomeHosts(batch, update.source) })
--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -20,7 +20,7 @@
 	if !startedAt.IsZero() {
 		since = startedAt.UnixMilli()
 	}
-	r.updateEndpoints(endpointUpdate{targets: []wire.Endpoint{
+	r.updateEndpoints(endpointUpdate{endpoints: []wire.Endpoint{
 		{Name: name, Address: "127.0.0.1:1", Kind: "std", Ready: true, Weight: 1, StartedAtUnixMilli: since},
 	}})
 }
@@ -28,7 +28,7 @@
 // newRouterWithList returns a router that is not running, with one endpoint and the first message of discovery applied.
 func newRouterWithList() *Router {
 	r := newTestRouter()
-	r.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, targets: []wire.Endpoint{
+	r.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, endpoints: []wire.Endpoint{
 		{Name: "old", Address: "127.0.0.1:1", Kind: "std", Ready: true, Weight: 1},
 	}})
 	updateStart(r, "old", time.Time{}) // discovery's first message
@@ -88,7 +88,7 @@
 func TestStartBeforeThisProcess(t *testing.T) {
 	for _, age := range []time.Duration{-time.Hour, 0, 3 * time.Second, time.Hour} {
 		r := newTestRouter()
-		r.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, targets: []wire.Endpoint{
+		r.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, endpoints: []wire.Endpoint{
 			{Name: "new", Address: "127.0.0.1:1", Ready: true, Weight: 1, StartedAtUnixMilli: time.Now().Add(-age).UnixMilli()},
 		}})
 		got := duration(r.clock.Now() - startOf(r))
--- a/internal/proxy/host_index.go
+++ b/internal/proxy/host_index.go
@@ -29,9 +29,9 @@
 
 // endpointUpdate is a change of the endpoint list.
 type endpointUpdate struct {
-	complete bool // a complete list: hosts that are not in it have departed
-	source   listSource
-	targets  []wire.Endpoint
+	complete  bool // a complete list: hosts that are not in it have departed
+	source    listSource
+	endpoints []wire.Endpoint
 }
 
 // updateEndpoints applies a change of the endpoint list in one call.
@@ -40,7 +40,7 @@
 		update.source = listKnownAtStart
 	}
 	r.beginUpdate()
-	r.updateHosts(update.targets, update.source)
+	r.updateHosts(update.endpoints, update.source)
 	if update.complete {
 		r.departHosts(r.unlistedHosts())
 	}
--- a/internal/proxy/list_latency_test.go
+++ b/internal/proxy/list_latency_test.go
@@ -19,7 +19,7 @@
 		if i%10 < 6 {
 			name += fmt.Sprint("-", generation)
 		}
-		update.targets = append(update.targets, wire.Endpoint{Name: name, Address: "127.0.0.1:1", Ready: true, Weight: 1})
+		update.endpoints = append(update.endpoints, wire.Endpoint{Name: name, Address: "127.0.0.1:1", Ready: true, Weight: 1})
 	}
 	return update
 }
--- a/internal/proxy/peer_endpoints.go
+++ b/internal/proxy/peer_endpoints.go
@@ -85,7 +85,7 @@
 		l.recordIndex(update.index)
 	}
 	l.counters.PeerLists.Add(1)
-	l.updateRouter(endpointUpdate{targets: changed})
+	l.updateRouter(endpointUpdate{endpoints: changed})
 }
 
 // classify returns the endpoints of updates from other proxies that are newer than index, and the corrections to send
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -281,7 +281,7 @@
 	}
 	p.listener.SetLimits(100, 100)
 	p.listener.Open()
-	update := endpointUpdate{complete: true, source: listKnownAtStart, targets: endpointsOf(nodes)}
+	update := endpointUpdate{complete: true, source: listKnownAtStart, endpoints: endpointsOf(nodes)}
 	p.router.mailbox.post(func() { p.router.updateEndpoints(update) })
 	go p.router.Run()
 	go p.listener.Run()
--- a/internal/proxy/router_test.go
+++ b/internal/proxy/router_test.go
@@ -59,12 +59,12 @@
 	endpoint := func(i int) wire.Endpoint {
 		return wire.Endpoint{Name: fmt.Sprint("c", i), Address: "127.0.0.1:1", Ready: true}
 	}
-	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, targets: []wire.Endpoint{endpoint(0), endpoint(1)}})
+	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, endpoints: []wire.Endpoint{endpoint(0), endpoint(1)}})
 	before := runtime.NumGoroutine()
 	for i := 2; i < 60; i++ {
 		departed := endpoint(i - 2)
 		departed.Ready, departed.Departed = false, true
-		router.updateEndpoints(endpointUpdate{targets: []wire.Endpoint{departed, endpoint(i)}})
+		router.updateEndpoints(endpointUpdate{endpoints: []wire.Endpoint{departed, endpoint(i)}})
 		time.Sleep(4 * time.Millisecond)
 	}
 	if len(router.hostIndex) > 5 || len(router.hosts) > 5 {
@@ -74,8 +74,8 @@
 		t.Errorf("got %d goroutines, want at most 5 more than the %d at the start", n, before)
 	}
 	// A listed host does not count as departed, neither in a complete list nor after an update with another host.
-	router.updateEndpoints(endpointUpdate{complete: true, targets: []wire.Endpoint{endpoint(58), endpoint(59)}})
-	router.updateEndpoints(endpointUpdate{targets: []wire.Endpoint{endpoint(58)}})
+	router.updateEndpoints(endpointUpdate{complete: true, endpoints: []wire.Endpoint{endpoint(58), endpoint(59)}})
+	router.updateEndpoints(endpointUpdate{endpoints: []wire.Endpoint{endpoint(58)}})
 	if router.hosts[router.hostIndex["c59"]].departedAt != 0 || router.hosts[router.hostIndex["c58"]].departedAt != 0 {
 		t.Error("a listed host counts as departed")
 	}
