--- a/internal/proxy/local_error_test.go
+++ b/internal/proxy/local_error_test.go
@@ -33,7 +33,7 @@
 			cache, origin := newCache(t), newOrigin(t)
 			p := newTestProxy(t, 10, defaultSettings, cache, origin)
 			err := localError(failure.call, failure.errno)
-			p.dialer.failOf.Store(2)
+			p.dialer.failCount.Store(2)
 			p.dialer.failing.Store(&err)
 			client := p.dial()
 			send(t, client, getCommand("waits", longWaitMS))
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -78,11 +78,11 @@
 // blockingDialer is a net.Dialer that dials blocked addresses only once they are released.
 type blockingDialer struct {
 	net.Dialer
-	mu      sync.Mutex
-	blocked map[string]chan struct{} // by address; closed when connections may be established
-	failing atomic.Pointer[error]    // error that dials return; nil: dials succeed
-	failOf  atomic.Int64             // number of dials that still fail; 0: all
-	dials   atomic.Int64             // number of dials so far
+	mu        sync.Mutex
+	blocked   map[string]chan struct{} // by address; closed when connections may be established
+	failing   atomic.Pointer[error]    // error that dials return; nil: dials succeed
+	failCount atomic.Int64             // number of dials that still fail; 0: all
+	dials     atomic.Int64             // number of dials so far
 }
 
 // localError returns the error of a dial whose system call failed for a reason on this machine.
@@ -110,7 +110,7 @@
 	d.mu.Unlock()
 	d.dials.Add(1)
 	if err := d.failing.Load(); err != nil {
-		if d.failOf.Load() > 0 && d.failOf.Add(-1) == 0 {
+		if d.failCount.Load() > 0 && d.failCount.Add(-1) == 0 {
 			d.failing.Store(nil)
 		}
 		return nil, *err
