--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -12,7 +12,8 @@
 	"woodproxy/internal/wire"
 )
 
-// No more is read of a value than the client takes and two chunks hold, and once it is abandoned nothing more is read.
+// The proxy reads no more of a value than the client has accepted and two chunks hold, and reads nothing more once the
+// stream is abandoned.
 func TestStreamAppliesBackpressure(t *testing.T) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() }) // which also ends the goroutine below
@@ -28,16 +29,16 @@
 			}
 			written.Add(1 << 10)
 		}
-		_, _ = io.WriteString(far, "\r\n") // not reached, or the test fails by what was read
+		_, _ = io.WriteString(far, "\r\n") // not reached unless the test fails
 	}()
 	upstream := newTestConn(newTestRouter(), near)
-	answer, err := wire.ReadCacheResponse(upstream.reader)
-	if err != nil || answer.ValueLength != length {
-		t.Fatal(answer, err)
+	response, err := wire.ReadCacheResponse(upstream.reader)
+	if err != nil || response.ValueLength != length {
+		t.Fatal(response, err)
 	}
-	s := newStream(answer.ValueLength)
+	s := newStream(response.ValueLength)
 	ended := make(chan error)
-	go func() { ended <- upstream.readChunks(s, &answer) }()
+	go func() { ended <- upstream.readChunks(s, &response) }()
 	taken := 0
 	for range 10 {
 		chunk := <-s.filled
@@ -46,7 +47,7 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	if n := int(written.Load()); n > taken+streamBufferBytes+8<<10 {
-		t.Errorf("%d read, %d taken", n, taken)
+		t.Errorf("got %d bytes read when the client had accepted %d", n, taken)
 	}
 	s.abandon()
 	select {
@@ -55,6 +56,6 @@
 			t.Error(err)
 		}
 	case <-time.After(time.Second):
-		t.Error("an abandoned stream is read on")
+		t.Error("reading continues after the stream was abandoned")
 	}
 }
--- a/internal/proxy/upstream_write.go
+++ b/internal/proxy/upstream_write.go
@@ -10,31 +10,35 @@
 )
 
 const (
-	// heldBackFrom is the size of a request, in bytes, from which on its end is held back: smaller ones are written at
-	// once or not at all, since the socket takes them.
-	heldBackFrom = 64 << 10
-	heldBack     = 2 // bytes
-	// expectedWriteRate is how fast long values are taken, in bytes a second, unless it has shown that they are not.
+	// holdBackMinSize is the minimum size in bytes of a request whose end is held back. Smaller requests fit into the
+	// socket buffer, so that they are written either at once or not at all.
+	holdBackMinSize = 64 << 10
+	holdBackBytes   = 2 // bytes held back
+	// expectedWriteRate is the rate in bytes per second at which an upstream is expected to accept a long value, until a
+	// slower rate has been measured.
 	expectedWriteRate = 512 << 10
-	// Parts of what is left that are reserved for the writing at most: by what is expected, and by what was seen.
-	maxExpectedPart = 1.0 / 3
-	maxReservePart  = 2.0 / 3
+	// maxExpectedFraction is the maximum fraction of the remaining time that is reserved for the expected writing time, and
+	// maxReserveFraction the maximum fraction that is reserved in all, measured writing times included.
+	maxExpectedFraction = 1.0 / 3
+	maxReserveFraction  = 2.0 / 3
 )
 
-// writeReserve is for how long the writing of an attempt may take, beyond lifecycle.MaxWriteDelay, when so much is left
-// of its time. Upstreams are told so much less: they begin a request as its last byte comes, and count from then.
-func (r *request) writeReserve(left time.Duration, size int) time.Duration {
-	if size < heldBackFrom {
+// writeReserve returns the time that is reserved for writing an attempt of size bytes with the given remaining time.
+// Writing may exceed the reserve by lifecycle.MaxWriteDelay. The wait that is sent to the upstream is shorter by the
+// reserve: an upstream begins a request when its last byte arrives, and counts the wait from then.
+func (r *request) writeReserve(remaining time.Duration, size int) time.Duration {
+	if size < holdBackMinSize {
 		return 0
 	}
-	expected := min(time.Duration(size)*time.Second/expectedWriteRate, time.Duration(float64(left)*maxExpectedPart))
-	seen := time.Duration(r.writeTime.Load()) * 5 / 4
-	return min(max(expected, seen), time.Duration(float64(left)*maxReservePart))
+	expected := min(time.Duration(size)*time.Second/expectedWriteRate, time.Duration(float64(remaining)*maxExpectedFraction))
+	measured := time.Duration(r.longestWrite.Load()) * 5 / 4
+	return min(max(expected, measured), time.Duration(float64(remaining)*maxReserveFraction))
 }
 
-// writeRequest writes a request, its header and value gathered into one write. The end of a long one is held back until
-// the rest is written, and is written only if the attempt may still begin and its deadline holds: no upstream begins a
-// request that does not arrive whole. A refusal tells that it may not.
+// writeRequest writes a request, with its header and value gathered into one write. The end of a long request is held
+// back until the rest is written, and is written only if the attempt may still begin and the wait sent to the upstream
+// is still valid: an upstream does not begin a request that does not arrive completely. Otherwise writeRequest returns
+// the reason as a refusal.
 func (u *upstreamConn) writeRequest(attempt *attempt, until time.Time) (lifecycle.Refusal, error) {
 	u.encodeRequest(attempt)
 	began := time.Now()
@@ -53,35 +57,35 @@
 	if err != nil {
 		return lifecycle.Permitted, err
 	}
-	buffers := u.buffers // WriteTo consumes the slice that it is called on
+	buffers := u.buffers // a copy, since WriteTo consumes the slice
 	tail := u.holdBack(&buffers)
 	if _, err = buffers.WriteTo(u.conn); err == nil && tail != nil {
 		conditions := u.conditions(attempt, until)
 		if refusal := conditions.MayComplete(began.Add(u.writeReserve)); !refusal.Permitted() {
-			attempt.request.noteWriteTime(time.Since(began))
+			attempt.request.recordWriteTime(time.Since(began))
 			return refusal, nil
 		}
 		_, err = u.conn.Write(tail)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) && limit.Before(until) && !attempt.request.life.Finished() && !attempt.cancelled.Load() {
-		attempt.request.noteWriteTime(time.Since(began))
+		attempt.request.recordWriteTime(time.Since(began))
 		return lifecycle.DeadlineOutdated, nil
 	}
 	return lifecycle.Permitted, err
 }
 
-// holdBack takes the last bytes off the buffers of a long request and returns them, nil for a short one.
+// holdBack removes the last bytes from the buffers of a long request and returns them. It returns nil for a short one.
 func (u *upstreamConn) holdBack(buffers *net.Buffers) []byte {
 	size := 0
 	for _, b := range *buffers {
 		size += len(b)
 	}
 	last := len(*buffers) - 1
-	if size < heldBackFrom || len((*buffers)[last]) < heldBack {
+	if size < holdBackMinSize || len((*buffers)[last]) < holdBackBytes {
 		return nil
 	}
 	end := (*buffers)[last]
-	cut := len(end) - heldBack
+	cut := len(end) - holdBackBytes
 	(*buffers)[last] = end[:cut]
 	return end[cut:]
 }
@@ -92,11 +96,11 @@
 	u.writing = nil
 }
 
-// noteWriteTime notes for how long an attempt was written that was not begun for that.
-func (r *request) noteWriteTime(took time.Duration) {
+// recordWriteTime records the time spent writing an attempt whose writing was broken off, if it is the longest so far.
+func (r *request) recordWriteTime(took time.Duration) {
 	for {
-		longest := r.writeTime.Load()
-		if int64(took) <= longest || r.writeTime.CompareAndSwap(longest, int64(took)) {
+		longest := r.longestWrite.Load()
+		if int64(took) <= longest || r.longestWrite.CompareAndSwap(longest, int64(took)) {
 			return
 		}
 	}
