--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -198,11 +198,11 @@
 	endpoints := event.Endpoints
 	if l.peerEndpoints != nil {
 		if watch == l.current {
-			l.peerEndpoints.notify(event.Index, event.Whole, endpoints)
+			l.peerEndpoints.notify(event.Index, event.Complete, endpoints)
 		}
-		endpoints = l.peerEndpoints.merge(event.Index, event.Whole, endpoints)
+		endpoints = l.peerEndpoints.merge(event.Index, event.Complete, endpoints)
 	}
-	update := endpointUpdate{complete: event.Whole, endpoints: endpoints}
+	update := endpointUpdate{complete: event.Complete, endpoints: endpoints}
 	if !l.receivedEvent {
 		l.receivedEvent, update.source = true, listFirstMessage
 	}
--- a/internal/server/config_golden_test.go
+++ b/internal/server/config_golden_test.go
@@ -62,7 +62,7 @@
 	line("limits.sockets", config.Sockets)
 	known := "not stated"
 	if list := config.KnownEndpoints; list != nil {
-		known = fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":%v}`, list.Index, list.Whole, list.Endpoints)
+		known = fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":%v}`, list.Index, list.Complete, list.Endpoints)
 	}
 	line("known", known)
 	listSettings := func(label string, book *settings.Settings) {
--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -123,7 +123,7 @@
 			endpoints[i].Ready = false
 		}
 	}
-	return &wire.EndpointList{Whole: true, Endpoints: endpoints}
+	return &wire.EndpointList{Complete: true, Endpoints: endpoints}
 }
 
 // recoveryLines converts endpoints to what the recovery module compares.
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -47,7 +47,7 @@
 // EndpointList is one JSON object from discovery: the complete endpoint list or an incremental update.
 type EndpointList struct {
 	Index     int64 // version of the list
-	Whole     bool  // complete list: endpoints that are not in it have departed
+	Complete     bool  // complete list: endpoints that are not in it have departed
 	Endpoints []Endpoint
 }
 
@@ -172,7 +172,7 @@
 		return err
 	case "snapshot":
 		value, err := r.readValue()
-		r.list.Whole = err == nil && value.GetBool()
+		r.list.Complete = err == nil && value.GetBool()
 		return err
 	}
 	return r.decoder.SkipValue() // a key from a later version of the protocol
--- a/internal/wire/endpointlist_test.go
+++ b/internal/wire/endpointlist_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if list := read.Endpoints; read.Index != 41 || !read.Whole || len(list) != 2 || list[1].Ready ||
+	if list := read.Endpoints; read.Index != 41 || !read.Complete || len(list) != 2 || list[1].Ready ||
 		list[0] != (Endpoint{Name: "c1", Address: "h:1", Zone: "a", Kind: "m2", Cell: 3, Ready: true, Weight: 1.5, StartedAtUnixMilli: 7}) {
 		t.Errorf("%+v", read)
 	}
--- a/internal/wire/protocol_golden_test.go
+++ b/internal/wire/protocol_golden_test.go
@@ -357,7 +357,7 @@
 	if err != nil {
 		return errorText(err)
 	}
-	described := fmt.Sprintf("index %d, complete %v", list.Index, list.Whole)
+	described := fmt.Sprintf("index %d, complete %v", list.Index, list.Complete)
 	for _, e := range list.Endpoints {
 		described += fmt.Sprintf("; name %q, address %q, zone %q, kind %q, cell %d, ready %v, departed %v, weight %v, "+
 			"since %d, from peer %v",
