--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -116,8 +116,8 @@
 	RequestEnded     time.Time // time at which the final reply was decided or the client left; zero: neither
 	EndpointDraining time.Time // time since which the endpoint is known to be draining or departed; zero: neither
 	DedupWindowEnd   time.Time // end of the deduplication window; zero: no earlier attempt may have run
-	ToldUntil        time.Time // deadline sent to the upstream, as the wait sent after At
-	ClientUntil      time.Time // deadline of the client; zero: none
+	SentDeadline     time.Time // At plus the wait that was sent to the upstream
+	ClientDeadline   time.Time // end of the client's wait; zero: without limit
 }
 
 // AttemptStarted checks an attempt that was written completely.
@@ -134,7 +134,7 @@
 	if late := a.At.Sub(a.DedupWindowEnd); !a.DedupWindowEnd.IsZero() && late > MaxDeadlineExcess {
 		c.violate(RetryInDedupWindow, a.RequestID, "retried %v after the deduplication window", late)
 	}
-	if excess := a.ToldUntil.Sub(a.ClientUntil); !a.ClientUntil.IsZero() && excess > MaxDeadlineExcess {
+	if excess := a.SentDeadline.Sub(a.ClientDeadline); !a.ClientDeadline.IsZero() && excess > MaxDeadlineExcess {
 		c.violate(ToldDeadlineHolds, a.RequestID, "sent with a deadline %v after the client's", excess)
 	}
 }
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -42,9 +42,9 @@
 		{
 			invariant.ToldDeadlineHolds,
 			start(func(a *invariant.AttemptStart) {
-				a.ClientUntil, a.ToldUntil = at, at.Add(invariant.MaxDeadlineExcess+1)
+				a.ClientDeadline, a.SentDeadline = at, at.Add(invariant.MaxDeadlineExcess+1)
 			}),
-			start(func(a *invariant.AttemptStart) { a.ClientUntil, a.ToldUntil = at, at }),
+			start(func(a *invariant.AttemptStart) { a.ClientDeadline, a.SentDeadline = at, at }),
 		},
 		{
 			invariant.OneFinalReply,
--- a/internal/proxy/upstream_roundtrip.go
+++ b/internal/proxy/upstream_roundtrip.go
@@ -101,8 +101,8 @@
 		RequestEnded:     router.clock.instantOf(attempt.request.endedAt.Load()),
 		EndpointDraining: router.clock.instantOf(u.host.notReadySince.Load()),
 		DedupWindowEnd:   router.dedupWindowEnd(attempt),
-		ToldUntil:        now.Add(time.Duration(u.sentWaitMS) * time.Millisecond),
-		ClientUntil:      attempt.request.clientUntil(router.clock),
+		SentDeadline:     now.Add(time.Duration(u.sentWaitMS) * time.Millisecond),
+		ClientDeadline:   attempt.request.clientUntil(router.clock),
 	})
 }
 
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -47,7 +47,7 @@
 // EndpointList is one JSON object from discovery: the complete endpoint list or an incremental update.
 type EndpointList struct {
 	Index     int64 // version of the list
-	Complete     bool  // complete list: endpoints that are not in it have departed
+	Complete  bool  // complete list: endpoints that are not in it have departed
 	Endpoints []Endpoint
 }
 
