--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -128,7 +128,7 @@
 			endpoints[i].Ready = false
 		}
 	}
-	return &wire.EndpointList{Whole: true, Endpoints: endpoints}
+	return &wire.EndpointList{Complete: true, Endpoints: endpoints}
 }
 
 // recoveryEndpoints converts endpoints to the type of the recovery module.
--- a/internal/soak/plants.go
+++ b/internal/soak/plants.go
@@ -41,14 +41,14 @@
 		{File: "internal/proxy/upstream_write.go", Old: "	if attempt.request.life.Finished() {\n		limit = pastDeadline", New: "	if attempt.request == nil {\n		limit = pastDeadline"},
 	}, nil, nil},
 	{"told-deadline", emulator.ToldDeadlineRule, []faultbuild.Patch{
-		{File: roundTripFile, Old: "	facts := wire.AppendFacts(nil, req.facts, u.toldMS)", New: "	facts := wire.AppendFacts(nil, req.facts, u.toldMS+400)"},
+		{File: roundTripFile, Old: "	facts := wire.AppendFacts(nil, req.facts, u.sentWaitMS)", New: "	facts := wire.AppendFacts(nil, req.facts, u.sentWaitMS+400)"},
 	}, nil, nil},
 	{"closed-unanswered", emulator.InvariantRule, []faultbuild.Patch{
 		{File: "internal/lifecycle/connection.go", Old: "	case c.PendingReplies > 0:\n		return RepliesPending\n	case c.Phase == PhaseOpen", New: "	case c.Phase == PhaseOpen"},
 	}, []string{"restart", "silent"}, nil},
 	{"drain-ignored", emulator.DrainRule, []faultbuild.Patch{
 		{File: "internal/proxy/host_index.go", Old: "	h.ready.Store(ready)", New: "	h.ready.Store(ready || h.departedAt == 0)"},
-		{File: "internal/proxy/host_index.go", Old: "Ready: target.Ready,", New: "Ready: true,"},
+		{File: "internal/proxy/host_index.go", Old: "Ready: endpoint.Ready,", New: "Ready: true,"},
 	}, []string{"replace"}, nil},
 	{"second-effect", emulator.SingleEffectRule, []faultbuild.Patch{
 		{File: "balancer/retry.go", Old: "	return route.Effect != Retriable && !isDropped", New: "	return isDropped && false"},
--- a/internal/wire/endpointlist_test.go
+++ b/internal/wire/endpointlist_test.go
@@ -14,21 +14,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if list := read.Endpoints; read.Index != 41 || !read.Whole || len(list) != 2 || list[1].Ready ||
+	if list := read.Endpoints; read.Index != 41 || !read.Complete || len(list) != 2 || list[1].Ready ||
 		list[0] != (Endpoint{Name: "c1", Address: "h:1", Zone: "a", Kind: "m2", Cell: 3, Ready: true, Weight: 1.5, StartedAtUnixMilli: 7}) {
 		t.Errorf("%+v", read)
 	}
 	for _, test := range []struct{ name, text string }{
-		{"no object", `[]`},
+		{"not an object", `[]`},
 		{"empty object", `{}`},
 		{"index mistyped", `{"index":"1","endpoints":[]}`},
 		{"no endpoints", `{"index":1}`},
 		{"endpoint without a name", `{"index":1,"endpoints":[{}]}`},
 		{"unknown status", `{"index":1,"endpoints":[{"name":"c","status":"odd"}]}`},
 		{"null", `null`},
-		{"no JSON", `{"index":1,"endpoints":[}`},
-		{"an object behind the first", `{"index":1,"endpoints":[]}{}`},
-		{"broken off", `{"index":1,"endpoints":[`},
+		{"invalid JSON", `{"index":1,"endpoints":[}`},
+		{"an object after the first", `{"index":1,"endpoints":[]}{}`},
+		{"truncated", `{"index":1,"endpoints":[`},
 		{"active without an address", `{"index":1,"endpoints":[{"name":"c","status":"active"}]}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// listText returns a whole list as discovery sends it.
+// listText returns a complete list of endpoints in discovery's format.
 func listText(endpoints int) string {
 	rows := make([]string, endpoints)
 	for i := range rows {
