--- a/internal/proxy/host_index.go
+++ b/internal/proxy/host_index.go
@@ -10,17 +10,18 @@
 	"go.uber.org/zap"
 )
 
-// listOrigin is what an endpoint list, or a change of it, tells of when its hosts started.
-type listOrigin uint8
+// listSource is the source of an endpoint list or a change of it. It determines how start times of hosts are
+// interpreted.
+type listSource uint8
 
 const (
-	listChange       listOrigin = iota // starts that it tells of happen now
-	listFirstMessage                   // discovery's first: starts may have been before this process's
+	listChange       listSource = iota // a change: hosts that it reports as started are starting now
+	listFirstMessage                   // first list or change from discovery: hosts may have started before this process
 	listKnownAtStart                   // the list that this process started with: no host counts as new
 )
 
-// The router takes a long list step by step, and looks at its other calls once steps have taken listCallTime: requests
-// do not wait for a whole list.
+// The router applies a long list in steps of maxHostsPerStep hosts, and returns to its other calls once the steps have
+// taken listCallTime, so that requests do not wait for a complete list.
 const (
 	maxHostsPerStep = 4
 	listCallTime    = 200 * time.Microsecond
@@ -28,73 +29,73 @@
 
 // endpointUpdate is a change of the endpoint list.
 type endpointUpdate struct {
-	whole   bool // hosts that it does not name have departed
-	origin  listOrigin
-	targets []wire.Endpoint
+	complete  bool // a complete list: hosts that are not in it have departed
+	source    listSource
+	endpoints []wire.Endpoint
 }
 
-// updateEndpoints takes a change of the endpoint list, and whatever it brings at once.
+// updateEndpoints applies a change of the endpoint list in one call.
 func (r *Router) updateEndpoints(update endpointUpdate) {
-	if len(r.hosts) == 0 { // where none is known, nothing shows which are new
-		update.origin = listKnownAtStart
+	if len(r.hosts) == 0 { // without known hosts, new ones can't be told from old ones
+		update.source = listKnownAtStart
 	}
 	r.beginUpdate()
-	r.updateHosts(update.targets, update.origin)
-	if update.whole {
+	r.updateHosts(update.endpoints, update.source)
+	if update.complete {
 		r.departHosts(r.unlistedHosts())
 	}
 	r.updateDutyNodes()
 }
 
-// beginUpdate begins to take a change of the endpoint list. Calls of updateHosts or updateSomeHosts follow, and for a
-// whole list of departHosts or departSomeHosts.
+// beginUpdate starts a change of the endpoint list. It is followed by calls of updateHosts or updateSomeHosts and, for a
+// complete list, of departHosts or departSomeHosts.
 func (r *Router) beginUpdate() {
 	r.removeDeparted(r.clock.Now())
-	r.updates++
+	r.updateCount++
 }
 
-// updateSomeHosts takes lines of the endpoint list for a while, and returns those that are left.
-func (r *Router) updateSomeHosts(targets []wire.Endpoint, origin listOrigin) (left []wire.Endpoint) {
-	for began := time.Now(); len(targets) > 0 && time.Since(began) < listCallTime; {
-		step := min(len(targets), maxHostsPerStep)
-		r.updateHosts(targets[:step], origin)
-		targets = targets[step:]
+// updateSomeHosts applies entries of the endpoint list for about listCallTime, and returns the remaining ones.
+func (r *Router) updateSomeHosts(endpoints []wire.Endpoint, source listSource) (remaining []wire.Endpoint) {
+	for start := time.Now(); len(endpoints) > 0 && time.Since(start) < listCallTime; {
+		step := min(len(endpoints), maxHostsPerStep)
+		r.updateHosts(endpoints[:step], source)
+		endpoints = endpoints[step:]
 	}
-	return targets
+	return endpoints
 }
 
-// updateHosts takes lines of the endpoint list. Those that say what is known already change nothing.
-func (r *Router) updateHosts(targets []wire.Endpoint, origin listOrigin) {
+// updateHosts applies entries of the endpoint list. Entries that are equal to the current ones change nothing.
+func (r *Router) updateHosts(endpoints []wire.Endpoint, source listSource) {
 	now := r.clock.Now()
 	var changed []*upstreamHost
-	for i := range targets {
-		h, isChanged := r.updateHost(targets[i], origin, now)
+	for i := range endpoints {
+		h, isChanged := r.updateHost(endpoints[i], source, now)
 		if h == nil {
 			continue
 		}
-		h.updatedBy = r.updates
+		h.lastUpdate = r.updateCount
 		if isChanged {
 			changed = append(changed, h)
 		}
 	}
-	if len(changed) > 0 || origin == listKnownAtStart {
-		r.hostsChanged(now, changed, origin == listKnownAtStart)
+	if len(changed) > 0 || source == listKnownAtStart {
+		r.hostsChanged(now, changed, source == listKnownAtStart)
 	}
 }
 
-// unlistedHosts returns the hosts that the current update, a whole list, has not named.
+// unlistedHosts returns the listed hosts that the current update, a complete list, does not contain.
 func (r *Router) unlistedHosts() (unlisted []*upstreamHost) {
 	for _, h := range r.hosts {
-		if h != nil && h.updatedBy != r.updates && h.departedAt == 0 {
+		if h != nil && h.lastUpdate != r.updateCount && h.departedAt == 0 {
 			unlisted = append(unlisted, h)
 		}
 	}
 	return unlisted
 }
 
-// departSomeHosts marks hosts as departed for a while, and returns those that are left.
-func (r *Router) departSomeHosts(unlisted []*upstreamHost) (left []*upstreamHost) {
-	for began := time.Now(); len(unlisted) > 0 && time.Since(began) < listCallTime; {
+// departSomeHosts marks hosts as departed for about listCallTime, and returns the remaining ones.
+func (r *Router) departSomeHosts(unlisted []*upstreamHost) (remaining []*upstreamHost) {
+	for start := time.Now(); len(unlisted) > 0 && time.Since(start) < listCallTime; {
 		step := min(len(unlisted), maxHostsPerStep)
 		r.departHosts(unlisted[:step])
 		unlisted = unlisted[step:]
@@ -113,7 +114,7 @@
 	r.hostsChanged(now, unlisted, false)
 }
 
-// hostsChanged tells the balancer and the zone health of hosts whose lines have changed.
+// hostsChanged updates the balancer and the zone health with hosts whose entries have changed.
 func (r *Router) hostsChanged(now balancer.Time, changed []*upstreamHost, first bool) {
 	listings := make([]balancer.Endpoint, 0, len(changed))
 	for _, h := range changed {
@@ -125,7 +126,7 @@
 	r.updateZoneNodes(changed)
 }
 
-// markDeparted notes when a host left the endpoint list.
+// markDeparted records the time at which a host left the endpoint list.
 func (r *Router) markDeparted(h *upstreamHost, now balancer.Time) {
 	if h.departedAt != 0 {
 		return
@@ -137,105 +138,107 @@
 	}
 }
 
-// updateHost takes a host's line of the endpoint list, and returns the host and whether its line has changed. It returns
-// nil for a host that has departed and was never known.
-func (r *Router) updateHost(target wire.Endpoint, origin listOrigin, now balancer.Time) (h *upstreamHost, isChanged bool) {
-	if index, known := r.hostIndex[target.Name]; known {
-		return r.updateKnownHost(r.hosts[index], target, origin, now)
+// updateHost applies a host's entry of the endpoint list, and returns the host and whether its entry has changed. It
+// returns nil for a departed host that is not known.
+func (r *Router) updateHost(endpoint wire.Endpoint, source listSource, now balancer.Time) (h *upstreamHost, isChanged bool) {
+	if index, known := r.hostIndex[endpoint.Name]; known {
+		return r.updateKnownHost(r.hosts[index], endpoint, source, now)
 	}
-	if target.Departed {
+	if endpoint.Departed {
 		return nil, false
 	}
-	h = r.addHost(target)
-	if origin != listKnownAtStart && target.StartedAtUnixMilli == 0 {
-		// The balancer takes it to have just started, and so do the proxies that learn of it from this one.
-		target.StartedAtUnixMilli = int64(now / ticksPerMillisecond)
+	h = r.addHost(endpoint)
+	if source != listKnownAtStart && endpoint.StartedAtUnixMilli == 0 {
+		// The balancer, and the proxies that receive the host from this one, assume that it has just started.
+		endpoint.StartedAtUnixMilli = int64(now / ticksPerMillisecond)
 	}
-	h.startedAt = startTime(target, origin, now)
-	r.setEndpoint(h, target, now)
+	h.startedAt = startTime(endpoint, source, now)
+	r.setEndpoint(h, endpoint, now)
 	return h, true
 }
 
 func (r *Router) updateKnownHost(
-	h *upstreamHost, target wire.Endpoint, origin listOrigin, now balancer.Time,
+	h *upstreamHost, endpoint wire.Endpoint, source listSource, now balancer.Time,
 ) (*upstreamHost, bool) {
-	if h.restartedBy(target) {
-		h.startedAt = startTime(target, origin, now)
+	if h.restartedBy(endpoint) {
+		h.startedAt = startTime(endpoint, source, now)
 	} else {
-		target.StartedAtUnixMilli = h.endpoint.StartedAtUnixMilli
+		endpoint.StartedAtUnixMilli = h.endpoint.StartedAtUnixMilli
 	}
-	if (target.Address == "" || target.FromPeer) && h.endpoint.Address != "" {
-		target.Address = h.endpoint.Address
+	if (endpoint.Address == "" || endpoint.FromPeer) && h.endpoint.Address != "" {
+		endpoint.Address = h.endpoint.Address
 	}
-	if target == h.endpoint && target.Departed == (h.departedAt != 0) {
+	if endpoint == h.endpoint && endpoint.Departed == (h.departedAt != 0) {
 		return h, false
 	}
-	r.setEndpoint(h, target, now)
+	r.setEndpoint(h, endpoint, now)
 	return h, true
 }
 
-// restartedBy reports whether a line of the endpoint list tells of a start after the one that is known. Discovery tells
-// changes in order, and a server whose wall clock was set back starts earlier by that than before; what peers tell may
-// be old. No start, 0, is what discovery says of one that was long ago.
-func (h *upstreamHost) restartedBy(target wire.Endpoint) bool {
+// restartedBy reports whether an entry of the endpoint list reports a start after the known one. Discovery sends changes
+// in order, so any different start time from it is a restart, even an earlier one: the server's wall clock may have been
+// set back. Reports from peers may be outdated, so only a later start time counts. Discovery sends 0 for a start that was
+// long ago.
+func (h *upstreamHost) restartedBy(endpoint wire.Endpoint) bool {
 	known := h.endpoint.StartedAtUnixMilli
 	switch {
-	case target.StartedAtUnixMilli == 0 || target.StartedAtUnixMilli == known:
+	case endpoint.StartedAtUnixMilli == 0 || endpoint.StartedAtUnixMilli == known:
 		return false
-	case target.FromPeer:
-		return target.StartedAtUnixMilli > known
+	case endpoint.FromPeer:
+		return endpoint.StartedAtUnixMilli > known
 	}
 	return true
 }
 
-// startTime returns when a host started, by this process's clock; 0 is long ago. A start that is seen happens now, be
-// it told late: to compare the wall clocks of two machines would have a slow start be over before it began, or last as
-// long as they differ. Of starts before this process nothing but the wall clock tells.
-func startTime(target wire.Endpoint, origin listOrigin, now balancer.Time) balancer.Time {
+// startTime returns the time at which a host started, on this process's clock; 0 means long ago. A start that is
+// reported while this process runs counts as happening now, even if the report is late: if the wall clocks of two
+// machines were compared, the slow start could be over before it began, or last for as long as the clocks differ. For
+// starts before this process, the wall clock is the only source.
+func startTime(endpoint wire.Endpoint, source listSource, now balancer.Time) balancer.Time {
 	switch {
-	case target.StartedAtUnixMilli == 0:
+	case endpoint.StartedAtUnixMilli == 0:
 		return 0
-	case origin != listChange:
-		return min(balancer.Time(target.StartedAtUnixMilli)*ticksPerMillisecond, now)
+	case source != listChange:
+		return min(balancer.Time(endpoint.StartedAtUnixMilli)*ticksPerMillisecond, now)
 	}
 	return now
 }
 
-// addHost gives a new host an index.
-func (r *Router) addHost(target wire.Endpoint) *upstreamHost {
+// addHost creates a host and assigns it a free index.
+func (r *Router) addHost(endpoint wire.Endpoint) *upstreamHost {
 	index := len(r.hosts)
 	if n := len(r.freeHosts); n > 0 {
 		index, r.freeHosts = r.freeHosts[n-1], r.freeHosts[:n-1]
 	} else {
 		r.hosts = append(r.hosts, nil)
 	}
-	r.hostIndex[target.Name] = index
-	r.hosts[index] = newUpstreamHost(r, index, target.Name, r.isOrigin(target))
+	r.hostIndex[endpoint.Name] = index
+	r.hosts[index] = newUpstreamHost(r, index, endpoint.Name, r.isOrigin(endpoint))
 	r.log.Info("new endpoint",
-		zap.Int("node", index), zap.String("peer", target.Name), zap.String("at", target.Address))
+		zap.Int("node", index), zap.String("peer", endpoint.Name), zap.String("at", endpoint.Address))
 	return r.hosts[index]
 }
 
-func (r *Router) isOrigin(target wire.Endpoint) bool {
-	return r.settings.OriginKind != "" && target.Kind == r.settings.OriginKind
+func (r *Router) isOrigin(endpoint wire.Endpoint) bool {
+	return r.settings.OriginKind != "" && endpoint.Kind == r.settings.OriginKind
 }
 
-// setEndpoint takes over the host's line of the endpoint list.
-func (r *Router) setEndpoint(h *upstreamHost, target wire.Endpoint, now balancer.Time) {
-	h.endpoint = target
-	if known := h.addr.Load(); target.Address != "" && (known == nil || *known != target.Address) {
-		address := target.Address
+// setEndpoint replaces the host's entry of the endpoint list.
+func (r *Router) setEndpoint(h *upstreamHost, endpoint wire.Endpoint, now balancer.Time) {
+	h.endpoint = endpoint
+	if known := h.addr.Load(); endpoint.Address != "" && (known == nil || *known != endpoint.Address) {
+		address := endpoint.Address
 		h.addr.Store(&address)
 	}
-	h.setReady(target.Ready)
-	if !target.Departed {
+	h.setReady(endpoint.Ready)
+	if !endpoint.Departed {
 		h.departedAt = 0
 	} else {
 		r.markDeparted(h, now)
 	}
 }
 
-// setReady notes whether the host takes requests, and since when it does not.
+// setReady records whether the host accepts requests, and the time since which it does not.
 func (h *upstreamHost) setReady(ready bool) {
 	if ready {
 		h.notReadySince.Store(0)
@@ -245,24 +248,25 @@
 	h.ready.Store(ready)
 }
 
-// listing returns what the balancer is told of a host.
+// listing returns a host as the balancer's endpoint.
 func (r *Router) listing(h *upstreamHost) balancer.Endpoint {
-	target := &h.endpoint
-	zone, ok := r.settings.Zones[target.Zone]
+	endpoint := &h.endpoint
+	zone, ok := r.settings.Zones[endpoint.Zone]
 	if !ok {
 		zone = -1
 	}
 	return balancer.Endpoint{
-		Index: h.index, Name: target.Name, Origin: r.isOrigin(*target), Ready: target.Ready,
-		StartedAt: h.startedAt, Weight: target.Weight, Zone: zone, Cell: target.Cell,
+		Index: h.index, Name: endpoint.Name, Origin: r.isOrigin(*endpoint), Ready: endpoint.Ready,
+		StartedAt: h.startedAt, Weight: endpoint.Weight, Zone: zone, Cell: endpoint.Cell,
 	}
 }
 
-// removeDeparted frees the indices of hosts that departed longer ago than any request lives, so that none is left that
-// was sent there. Hosts are replaced by others under new names all the time.
+// removeDeparted frees the indices of hosts that departed longer ago than the longest request timeout and have no
+// attempt in flight, so that no request can still refer to them. This keeps the index small: hosts are replaced all the
+// time by others with new names.
 func (r *Router) removeDeparted(now balancer.Time) {
 	r.departedHosts = slices.DeleteFunc(r.departedHosts, func(h *upstreamHost) bool {
-		if h.departedAt == 0 { // it is listed again
+		if h.departedAt == 0 { // the host is listed again
 			h.awaitsRemoval = false
 			return true
 		}
@@ -279,13 +283,13 @@
 	})
 }
 
-// listedTargets returns the lines of the hosts that are listed.
-func (r *Router) listedTargets() []wire.Endpoint {
-	var targets []wire.Endpoint
+// listedEndpoints returns the entries of the hosts that are listed.
+func (r *Router) listedEndpoints() []wire.Endpoint {
+	var endpoints []wire.Endpoint
 	for _, h := range r.hosts {
 		if h != nil && h.departedAt == 0 {
-			targets = append(targets, h.endpoint)
+			endpoints = append(endpoints, h.endpoint)
 		}
 	}
-	return targets
+	return endpoints
 }
