--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -38,7 +38,7 @@
 	switch {
 	case errors.As(err, &usage):
 		return exitBadUsage
-	case errors.Is(err, errMachineLate):
+	case errors.Is(err, errMachineOverloaded):
 		return 3
 	}
 	return 1
--- a/cmd/emulator/soak.go
+++ b/cmd/emulator/soak.go
@@ -37,8 +37,8 @@
 func (e usageError) Error() string { return e.err.Error() }
 func (e usageError) Unwrap() error { return e.err }
 
-// errMachineLate ends a soak in which the machine had no time for some scenario, so that it has no verdict.
-var errMachineLate = errors.New("the load ran late in some scenario: no verdict")
+// errMachineOverloaded ends a soak in which the machine had no time for some scenario, so that it has no verdict.
+var errMachineOverloaded = errors.New("the load ran late in some scenario: no verdict")
 
 // errFaultIdle ends a soak in which a drawn fault did nothing, so that a clean play shows less than it says.
 var errFaultIdle = errors.New("a fault that was drawn did nothing in some scenario")
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	return c.playAll(ctx, &soak.Soak{Program: program, Dir: c.Dir, Keep: c.Keep, Out: os.Stdout}, plant)
+	return c.runAll(ctx, &soak.Soak{Program: program, Dir: c.Dir, Keep: c.Keep, Out: os.Stdout}, plant)
 }
 
 // check checks the flags and returns the mistake that is to be planted, nil for none.
@@ -104,8 +104,8 @@
 	return plant, nil
 }
 
-// playAll plays the schedule, or each seed, and returns the worst verdict as an error.
-func (c *soakCommand) playAll(ctx context.Context, player *soak.Soak, plant *soak.Plant) error {
+// runAll plays the schedule, or each seed, and returns the worst verdict as an error.
+func (c *soakCommand) runAll(ctx context.Context, runner *soak.Soak, plant *soak.Plant) error {
 	counts := map[soak.Verdict]int{}
 	for i := range c.Seeds {
 		seed := c.Seed + uint64(i)
@@ -116,27 +116,27 @@
 		if plant != nil && plant.Scenario != nil {
 			plant.Scenario(scenario)
 		}
-		outcome, err := player.Play(ctx, scenario, seed)
+		outcome, err := runner.Run(ctx, scenario, seed)
 		if err != nil {
 			return err
 		}
-		player.Describe(outcome)
+		runner.Describe(outcome)
 		counts[outcome.Verdict]++
 		if outcome.Verdict == soak.Violated {
-			c.keep(ctx, player, outcome)
+			c.saveSchedule(ctx, runner, outcome)
 			if plant != nil && slices.Contains(outcome.Rules(), plant.Rule) {
 				break // it was found
 			}
 		}
 	}
-	fmt.Printf("%d clean, %d violated, %d late, %d idle\n", counts[soak.Clean], counts[soak.Violated], counts[soak.Late], counts[soak.Idle])
+	fmt.Printf("%d clean, %d violated, %d late, %d idle\n", counts[soak.Clean], counts[soak.Violated], counts[soak.Overloaded], counts[soak.Idle])
 	switch {
 	case counts[soak.Violated] > 0:
 		return errInvariantViolated
 	case counts[soak.Idle] > 0:
 		return errFaultIdle
-	case counts[soak.Late] > 0:
-		return errMachineLate
+	case counts[soak.Overloaded] > 0:
+		return errMachineOverloaded
 	}
 	return nil
 }
@@ -148,11 +148,11 @@
 	return soak.Draw(seed, soak.DrawOptions{Proxies: c.Proxies, Seconds: c.Seconds, Kinds: c.Faults, Large: c.Large && c.Plant == ""}), nil
 }
 
-// keep writes the schedule of a find, cut down to the fewest faults where that is asked for, and says how to play it.
-func (c *soakCommand) keep(ctx context.Context, player *soak.Soak, outcome *soak.Outcome) {
+// saveSchedule writes the schedule of a find, cut down to the fewest faults where that is asked for, and says how to play it.
+func (c *soakCommand) saveSchedule(ctx context.Context, runner *soak.Soak, outcome *soak.Outcome) {
 	scenario := outcome.Scenario
 	if c.Shrink && c.Plant == "" {
-		scenario = player.Shrink(ctx, outcome)
+		scenario = runner.Shrink(ctx, outcome)
 	}
 	file := filepath.Join(c.Dir, fmt.Sprintf("seed%d.toml", outcome.Seed))
 	if err := soak.WriteSchedule(file, scenario); err != nil {
--- a/deploy/balancer_test.go
+++ b/deploy/balancer_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	mostFileLines    = 130
-	mostLineLength   = 110
+	maxFileLines     = 130
+	maxLineLength    = 110
 	repositoryRoot   = ".."
 	proxyProgram     = "bin/woodproxy"
 	simulatorProgram = "bin/simhost"
@@ -51,8 +51,8 @@
 	return b
 }
 
-// started is the program that a command line starts, behind exec where that stands.
-func started(t *testing.T, commandLine string) string {
+// startedProgram is the program that a command line starts, behind exec where that stands.
+func startedProgram(t *testing.T, commandLine string) string {
 	t.Helper()
 	words := strings.Fields(strings.TrimPrefix(commandLine, "exec "))
 	if len(words) == 0 {
@@ -63,10 +63,10 @@
 
 func TestBalancerStartsThePrograms(t *testing.T) {
 	b := readBalancer(t)
-	if got := started(t, *b.Run); got != proxyProgram {
+	if got := startedProgram(t, *b.Run); got != proxyProgram {
 		t.Errorf("run starts %s, not %s", got, proxyProgram)
 	}
-	if got := started(t, *b.Sim); got != simulatorProgram {
+	if got := startedProgram(t, *b.Sim); got != simulatorProgram {
 		t.Errorf("sim starts %s, not %s", got, simulatorProgram)
 	}
 	if !strings.Contains(*b.Build, "go build") || !strings.Contains(*b.Build, "-o bin/") || !strings.Contains(*b.Build, "./cmd/...") {
@@ -86,12 +86,12 @@
 			t.Errorf("policy: %v", err)
 			continue
 		}
-		if lines := bytes.Count(text, []byte("\n")); lines > mostFileLines {
-			t.Errorf("%s: %d lines, over %d", name, lines, mostFileLines)
+		if lines := bytes.Count(text, []byte("\n")); lines > maxFileLines {
+			t.Errorf("%s: %d lines, over %d", name, lines, maxFileLines)
 		}
 		for i, line := range strings.Split(string(text), "\n") {
-			if n := utf8.RuneCountInString(line); n > mostLineLength {
-				t.Errorf("%s:%d: %d characters, over %d", name, i+1, n, mostLineLength)
+			if n := utf8.RuneCountInString(line); n > maxLineLength {
+				t.Errorf("%s:%d: %d characters, over %d", name, i+1, n, maxLineLength)
 			}
 		}
 	}
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -18,11 +18,11 @@
 
 // Times of a schedule, in seconds.
 const (
-	firstFault  = 0.8
-	quietEnd    = 1.6 // without a fault, before the end
-	slotLength  = 1.4 // in each of which two or three faults begin
-	minDuration = 0.6
-	maxDuration = 2.8
+	firstFault   = 0.8
+	faultFreeEnd = 1.6 // without a fault, before the end
+	slotLength   = 1.4 // in each of which two or three faults begin
+	minDuration  = 0.6
+	maxDuration  = 2.8
 )
 
 // faultDraw draws the figures of one kind of fault.
@@ -32,82 +32,82 @@
 	fill   func(d *drawer, f *emulator.Fault)
 }
 
-func nodes(least, most int) func(*drawer, *emulator.Fault) {
-	return func(d *drawer, f *emulator.Fault) { f.Count = d.between(least, min(most, d.scenario.Fleet.Nodes)) }
+func nodeCount(least, most int) func(*drawer, *emulator.Fault) {
+	return func(d *drawer, f *emulator.Fault) { f.Count = d.intBetween(least, min(most, d.scenario.Fleet.Nodes)) }
 }
 
-func proxies(least, most int) func(*drawer, *emulator.Fault) {
-	return func(d *drawer, f *emulator.Fault) { f.Count = d.between(least, min(most, d.scenario.Proxies)) }
+func proxyCount(least, most int) func(*drawer, *emulator.Fault) {
+	return func(d *drawer, f *emulator.Fault) { f.Count = d.intBetween(least, min(most, d.scenario.Proxies)) }
 }
 
-func nodesInPart(most int, part float64) func(*drawer, *emulator.Fault) {
+func nodeCountAndFraction(most int, part float64) func(*drawer, *emulator.Fault) {
 	return func(d *drawer, f *emulator.Fault) {
-		f.Count, f.Part = d.between(1, min(most, d.scenario.Fleet.Nodes)), d.float(0.05, part)
+		f.Count, f.Part = d.intBetween(1, min(most, d.scenario.Fleet.Nodes)), d.floatBetween(0.05, part)
 	}
 }
 
-// failing draws a system call that fails, at several proxies: each time, or one time in some.
-func failing(most float64) func(*drawer, *emulator.Fault) {
+// systemCallFault draws a system call that fails, at several proxies: each time, or one time in some.
+func systemCallFault(most float64) func(*drawer, *emulator.Fault) {
 	return func(d *drawer, f *emulator.Fault) {
-		f.Count, f.Variant = d.between(1, d.scenario.Proxies), d.random.IntN(10)
+		f.Count, f.Variant = d.intBetween(1, d.scenario.Proxies), d.random.IntN(10)
 		f.Part = most
 		if d.random.IntN(2) == 0 {
-			f.Part = d.float(most/20, most/2)
+			f.Part = d.floatBetween(most/20, most/2)
 		}
 	}
 }
 
-func some(d *drawer, f *emulator.Fault) {
+func allOrSomeProxies(d *drawer, f *emulator.Fault) {
 	if d.random.IntN(2) == 0 {
-		f.Count = d.between(1, d.scenario.Proxies)
+		f.Count = d.intBetween(1, d.scenario.Proxies)
 	}
 }
 
 // faultDraws are the kinds that are drawn. The weights make up for kinds that come in several forms.
 var faultDraws = []faultDraw{
-	{"restart", 3, proxies(1, 4)},
-	{"kill", 3, proxies(1, 3)},
-	{"mass-kill", 1, proxies(2, 16)},
-	{"pause", 3, proxies(1, 4)},
-	{"reload", 3, proxies(1, 8)},
-	{"hot-restart", 3, proxies(1, 3)},
-	{"agent-ahead", 1, proxies(1, 2)},
-	{"bad-clients", 2, func(d *drawer, f *emulator.Fault) { f.Rate = d.float(5, 40) }},
-	{"slow-clients", 1, func(d *drawer, f *emulator.Fault) { f.Count = d.between(2, 20) }},
-	{"bursts", 2, func(d *drawer, f *emulator.Fault) { f.Rate = d.float(2, 20) }},
-	{"silent", 2, nodes(1, 4)},
+	{"restart", 3, proxyCount(1, 4)},
+	{"kill", 3, proxyCount(1, 3)},
+	{"mass-kill", 1, proxyCount(2, 16)},
+	{"pause", 3, proxyCount(1, 4)},
+	{"reload", 3, proxyCount(1, 8)},
+	{"hot-restart", 3, proxyCount(1, 3)},
+	{"agent-ahead", 1, proxyCount(1, 2)},
+	{"bad-clients", 2, func(d *drawer, f *emulator.Fault) { f.Rate = d.floatBetween(5, 40) }},
+	{"slow-clients", 1, func(d *drawer, f *emulator.Fault) { f.Count = d.intBetween(2, 20) }},
+	{"bursts", 2, func(d *drawer, f *emulator.Fault) { f.Rate = d.floatBetween(2, 20) }},
+	{"silent", 2, nodeCount(1, 4)},
 	{"slow", 1, func(d *drawer, f *emulator.Fault) {
-		f.Count, f.Slowdown = d.between(1, min(3, d.scenario.Fleet.Nodes)), d.float(2, 12)
+		f.Count, f.Slowdown = d.intBetween(1, min(3, d.scenario.Fleet.Nodes)), d.floatBetween(2, 12)
 	}},
-	{"failing", 1, nodesInPart(4, 0.6)},
-	{"reset", 2, nodesInPart(4, 0.4)},
-	{"garbled", 1, nodesInPart(3, 0.3)},
-	{"halves", 1, nodesInPart(3, 0.3)},
-	{"closes", 2, nodesInPart(6, 0.9)},
-	{"conn-resets", 2, nodes(1, 8)},
+	{"failing", 1, nodeCountAndFraction(4, 0.6)},
+	{"reset", 2, nodeCountAndFraction(4, 0.4)},
+	{"garbled", 1, nodeCountAndFraction(3, 0.3)},
+	{"halves", 1, nodeCountAndFraction(3, 0.3)},
+	{"closes", 2, nodeCountAndFraction(6, 0.9)},
+	{"conn-resets", 2, nodeCount(1, 8)},
 	{"origin-resets", 2, nil},
-	{"cold", 3, nodes(1, 4)},
+	{"cold", 3, nodeCount(1, 4)},
 	{"replace", 3, func(d *drawer, f *emulator.Fault) {
-		f.Count, f.LeaveMS = d.between(1, min(4, d.scenario.Fleet.Nodes)), d.float(500, 900)
+		f.Count, f.LeaveMS = d.intBetween(1, min(4, d.scenario.Fleet.Nodes)), d.floatBetween(500, 900)
 	}},
-	{"origin-slow", 1, func(d *drawer, f *emulator.Fault) { f.Slowdown = d.float(2, 8) }},
-	{"deaf", 2, some},
-	{"refusing", 1, some},
-	{"stale", 2, some},
-	{"hush", 2, some},
-	{"garbled-list", 1, some},
-	{"cut-watch", 1, some},
-	{"fail-socket", 2, failing(1)},
-	{"fail-connect", 2, failing(1)},
-	{"fail-accept", 3, failing(0.7)},
-	{"break-conns", 2, failing(0.1)},
-	{"interrupt", 1, failing(0.5)}, // each time, and the program would do nothing else
-	{"short-read", 1, failing(1)},
-	{"short-write", 1, failing(1)},
-	{"fail-disk", 1, failing(1)},
-	{"fail-sync", 1, failing(1)},
+	{"origin-slow", 1, func(d *drawer, f *emulator.Fault) { f.Slowdown = d.floatBetween(2, 8) }},
+	{"deaf", 2, allOrSomeProxies},
+	{"refusing", 1, allOrSomeProxies},
+	{"stale", 2, allOrSomeProxies},
+	{"hush", 2, allOrSomeProxies},
+	{"garbled-list", 1, allOrSomeProxies},
+	{"cut-watch", 1, allOrSomeProxies},
+	{"fail-socket", 2, systemCallFault(1)},
+	{"fail-connect", 2, systemCallFault(1)},
+	{"fail-accept", 3, systemCallFault(0.7)},
+	{"break-conns", 2, systemCallFault(0.1)},
+	{"interrupt", 1, systemCallFault(0.5)}, // each time, and the program would do nothing else
+	{"short-read", 1, systemCallFault(1)},
+	{"short-write", 1, systemCallFault(1)},
+	{"fail-disk", 1, systemCallFault(1)},
+	{"fail-sync", 1, systemCallFault(1)},
 	{"clock-step", 4, func(d *drawer, f *emulator.Fault) {
-		f.Count = d.between(1, d.scenario.Proxies)
+		f.Count = d.intBetween(1, d.scenario.Proxies)
 		f.StepS = []float64{-3600, -5, 5, 3600}[d.random.IntN(4)]
 	}},
 }
@@ -128,13 +128,15 @@
 	scenario *emulator.Scenario
 }
 
-// between draws a number, both bounds included.
-func (d *drawer) between(least, most int) int { return least + d.random.IntN(max(most-least, 0)+1) }
+// intBetween draws a number, both bounds included.
+func (d *drawer) intBetween(least, most int) int { return least + d.random.IntN(max(most-least, 0)+1) }
 
-func (d *drawer) float(least, most float64) float64 { return least + d.random.Float64()*(most-least) }
+func (d *drawer) floatBetween(least, most float64) float64 {
+	return least + d.random.Float64()*(most-least)
+}
 
-// chance is true in one case of so many.
-func (d *drawer) chance(in int) bool { return d.random.IntN(in) == 0 }
+// oneIn is true in one case of so many.
+func (d *drawer) oneIn(in int) bool { return d.random.IntN(in) == 0 }
 
 // Draw draws a scenario with its faults from a seed. The same seed and options give the same scenario.
 func Draw(seed uint64, options DrawOptions) *emulator.Scenario {
@@ -164,28 +166,28 @@
 	if random.IntN(4) > 0 {
 		return
 	}
-	at := firstFault + random.Float64()*max(s.LengthS-quietEnd-minDuration-firstFault, 0)
+	at := firstFault + random.Float64()*max(s.LengthS-faultFreeEnd-minDuration-firstFault, 0)
 	s.Faults = append(s.Faults, emulator.Fault{
-		Kind: kindCrowd, AtS: at, DurationS: min(maxDuration, s.LengthS-quietEnd-at), Count: 1 + random.IntN(2),
+		Kind: kindCrowd, AtS: at, DurationS: min(maxDuration, s.LengthS-faultFreeEnd-at), Count: 1 + random.IntN(2),
 	})
 }
 
 func (d *drawer) drawFleet() {
 	s := d.scenario
-	s.Fleet = emulator.Fleet{Nodes: d.between(5, 14), SlowStartS: d.float(1.5, 4), InitialSpeed: d.float(0.1, 0.4)}
-	s.Fleet.NodeCapacity = emulator.NodeCapacity{Cores: d.between(1, 4), ServiceMS: d.float(2, 8), Queue: d.between(20, 100), Thrash: d.float(0, 0.03)}
+	s.Fleet = emulator.Fleet{Nodes: d.intBetween(5, 14), SlowStartS: d.floatBetween(1.5, 4), InitialSpeed: d.floatBetween(0.1, 0.4)}
+	s.Fleet.NodeCapacity = emulator.NodeCapacity{Cores: d.intBetween(1, 4), ServiceMS: d.floatBetween(2, 8), Queue: d.intBetween(20, 100), Thrash: d.floatBetween(0, 0.03)}
 	if zones := [][]string{nil, {"a", "b"}, {"a", "b", "c"}}[d.random.IntN(3)]; zones != nil {
-		s.Fleet.Zones, s.Fleet.CrossZoneMS = zones, d.float(0.5, 3)
+		s.Fleet.Zones, s.Fleet.CrossZoneMS = zones, d.floatBetween(0.5, 3)
 	}
-	s.Origin = emulator.NodeCapacity{Cores: d.between(4, 12), ServiceMS: d.float(4, 15), Queue: 100}
-	s.Keys = emulator.Keys{Count: d.between(500, 4000), Zipf: 1.1, CachedPart: d.float(0.5, 0.95), ValueBytes: d.between(0, 2) * 3000}
+	s.Origin = emulator.NodeCapacity{Cores: d.intBetween(4, 12), ServiceMS: d.floatBetween(4, 15), Queue: 100}
+	s.Keys = emulator.Keys{Count: d.intBetween(500, 4000), Zipf: 1.1, CachedPart: d.floatBetween(0.5, 0.95), ValueBytes: d.intBetween(0, 2) * 3000}
 	capacity := float64(s.Fleet.Nodes*s.Fleet.Cores) * 1000 / s.Fleet.ServiceMS
-	s.Load = emulator.Load{Rate: min(d.float(0.15, 0.6)*capacity, 900), LeavingPart: d.float(0, 0.1), DrippedPart: d.float(0, 0.05)}
-	if d.chance(2) {
-		at := d.float(1, s.LengthS/2)
+	s.Load = emulator.Load{Rate: min(d.floatBetween(0.15, 0.6)*capacity, 900), LeavingPart: d.floatBetween(0, 0.1), DrippedPart: d.floatBetween(0, 0.05)}
+	if d.oneIn(2) {
+		at := d.floatBetween(1, s.LengthS/2)
 		s.Load.Steps = []emulator.Step{{AtS: at, Factor: 1.5}, {AtS: at + 1, Factor: 1}}
 	}
-	s.Limits = emulator.Limits{Cores: 1, MemoryMB: 64, Sockets: 512, Hedging: d.chance(2)}
+	s.Limits = emulator.Limits{Cores: 1, MemoryMB: 64, Sockets: 512, Hedging: d.oneIn(2)}
 }
 
 // maxProxiesOfLargeFleet bounds the descriptors that the stand-ins of a large fleet take: each has one for each proxy.
@@ -206,24 +208,24 @@
 }
 
 func (d *drawer) drawRoutes() {
-	timeout := d.float(250, 1500)
+	timeout := d.floatBetween(250, 1500)
 	d.scenario.Routes = []emulator.Route{
 		{Name: "read", Share: 0.8, ObjectiveMS: timeout * 0.6, TimeoutMS: timeout, Weight: 1},
-		{Name: "put", Share: 0.12, ObjectiveMS: 300, TimeoutMS: d.float(400, 1500), Weight: 2, Write: true, DedupMS: d.float(200, 4000)},
-		{Name: "once", Share: 0.08, ObjectiveMS: 300, TimeoutMS: d.float(400, 1500), Weight: 3, Write: true},
+		{Name: "put", Share: 0.12, ObjectiveMS: 300, TimeoutMS: d.floatBetween(400, 1500), Weight: 2, Write: true, DedupMS: d.floatBetween(200, 4000)},
+		{Name: "once", Share: 0.08, ObjectiveMS: 300, TimeoutMS: d.floatBetween(400, 1500), Weight: 3, Write: true},
 	}
 }
 
 // drawFeatures turns on what is off where proxies are deployed alone, in some scenarios.
 func (d *drawer) drawFeatures() {
 	s := d.scenario
-	if len(s.Fleet.Zones) > 0 && d.chance(2) {
+	if len(s.Fleet.Zones) > 0 && d.oneIn(2) {
 		s.ZoneHealth.Decision = "alone"
 	}
-	if d.chance(5) {
+	if d.oneIn(5) {
 		s.Gossip.On = true
 	}
-	s.State = d.chance(3)
+	s.State = d.oneIn(3)
 }
 
 // drawFaults fills the scenario with faults of which two or three overlap.
@@ -237,13 +239,13 @@
 			}
 		}
 	}
-	for begin := firstFault; begin < s.LengthS-quietEnd-minDuration; begin += slotLength {
-		for range d.between(2, 3) {
+	for begin := firstFault; begin < s.LengthS-faultFreeEnd-minDuration; begin += slotLength {
+		for range d.intBetween(2, 3) {
 			draw := pool[d.random.IntN(len(pool))]
-			fault := emulator.Fault{Kind: draw.kind, AtS: begin + d.float(0, slotLength/2)}
-			fault.DurationS = min(d.float(minDuration, maxDuration), s.LengthS-quietEnd-fault.AtS)
-			if draw.kind == "pause" && d.chance(2) {
-				fault.DurationS = d.float(0.05, 0.15)
+			fault := emulator.Fault{Kind: draw.kind, AtS: begin + d.floatBetween(0, slotLength/2)}
+			fault.DurationS = min(d.floatBetween(minDuration, maxDuration), s.LengthS-faultFreeEnd-fault.AtS)
+			if draw.kind == "pause" && d.oneIn(2) {
+				fault.DurationS = d.floatBetween(0.05, 0.15)
 			}
 			if fault.DurationS <= 0 {
 				continue
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -22,22 +22,22 @@
 
 // Verdicts.
 const (
-	Clean    Verdict = iota
-	Violated         // an invariant was broken
-	Late             // the machine had no time for the load, so that nothing is shown
-	Idle             // a drawn fault did nothing
+	Clean      Verdict = iota
+	Violated           // an invariant was broken
+	Overloaded         // the machine had no time for the load, so that nothing is shown
+	Idle               // a drawn fault did nothing
 )
 
 var verdictNames = [...]string{"clean", "violated", "late", "idle"}
 
-// maxLatePart is the part of a scenario's time that may lie near late moments of the machine where it has a verdict.
-const maxLatePart = 0.5
+// maxOverloadedFraction is the part of a scenario's time that may lie near late moments of the machine where it has a verdict.
+const maxOverloadedFraction = 0.5
 
 // String returns the verdict in tables.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// maxReplays bounds how often a violation is played again to find the fewest faults that show it.
-const maxReplays = 14
+// maxShrinkRuns bounds how often a violation is played again to find the fewest faults that show it.
+const maxShrinkRuns = 14
 
 // Soak plays scenarios.
 type Soak struct {
@@ -64,14 +64,14 @@
 
 // Outcome is what came of one scenario.
 type Outcome struct {
-	Seed       uint64
-	Scenario   *emulator.Scenario
-	Verdict    Verdict
-	Violations []emulator.Violation // but for those near late moments of the machine
-	IdleFaults []string             // kinds that were drawn and did nothing
-	LatePart   float64              // of the time, near late moments
-	Requests   int
-	Took       time.Duration
+	Seed               uint64
+	Scenario           *emulator.Scenario
+	Verdict            Verdict
+	Violations         []emulator.Violation // but for those near late moments of the machine
+	IdleFaults         []string             // kinds that were drawn and did nothing
+	OverloadedFraction float64              // of the time, near late moments
+	Requests           int
+	Elapsed            time.Duration
 }
 
 // Rules returns the rules that were broken, each once, in order of name.
@@ -84,8 +84,8 @@
 	return slices.Compact(rules)
 }
 
-// Play plays a scenario once.
-func (s *Soak) Play(ctx context.Context, scenario *emulator.Scenario, seed uint64) (*Outcome, error) {
+// Run plays a scenario once.
+func (s *Soak) Run(ctx context.Context, scenario *emulator.Scenario, seed uint64) (*Outcome, error) {
 	dir := filepath.Join(s.Dir, fmt.Sprint("seed", seed))
 	if err := os.RemoveAll(dir); err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 	plan := scenario.NewPlan(seed)
 	options := emulator.Options{Start: emulator.StartProgram(s.Program, "serve"), Dir: dir, FaultPages: true}
 	report, err := emulator.Run(ctx, plan, options)
-	outcome := &Outcome{Seed: seed, Scenario: scenario, Requests: len(plan.Requests), Took: time.Since(began)}
+	outcome := &Outcome{Seed: seed, Scenario: scenario, Requests: len(plan.Requests), Elapsed: time.Since(began)}
 	var notReady *emulator.StartError
 	switch {
 	case errors.As(err, &notReady):
@@ -107,12 +107,12 @@
 	case err != nil:
 		return nil, err
 	}
-	outcome.Violations, outcome.IdleFaults, outcome.LatePart = report.Unexcused(), report.IdleFaults(), report.LatePart()
+	outcome.Violations, outcome.IdleFaults, outcome.OverloadedFraction = report.Unexcused(), report.IdleFaults(), report.LatePart()
 	switch {
 	case len(outcome.Violations) > 0:
 		outcome.Verdict = Violated
-	case outcome.LatePart > maxLatePart:
-		outcome.Verdict = Late
+	case outcome.OverloadedFraction > maxOverloadedFraction:
+		outcome.Verdict = Overloaded
 	case len(outcome.IdleFaults) > 0:
 		outcome.Verdict = Idle
 	default:
@@ -128,11 +128,11 @@
 // faults that still breaks one of the rules.
 func (s *Soak) Shrink(ctx context.Context, found *Outcome) *emulator.Scenario {
 	rules, fewest, replays := found.Rules(), found.Scenario, 0
-	for i := len(fewest.Faults) - 1; i >= 0 && replays < maxReplays; i-- {
+	for i := len(fewest.Faults) - 1; i >= 0 && replays < maxShrinkRuns; i-- {
 		fewer := *fewest
 		fewer.Faults = slices.Delete(slices.Clone(fewest.Faults), i, i+1)
 		replays++
-		outcome, err := s.Play(ctx, &fewer, found.Seed)
+		outcome, err := s.Run(ctx, &fewer, found.Seed)
 		if err != nil {
 			return fewest
 		}
@@ -150,7 +150,7 @@
 		kinds = append(kinds, fault.Kind)
 	}
 	_, _ = fmt.Fprintf(s.Out, "%d\t%v\t%d servers\t%d requests\t%.1f s, %.0f%% of it late\t%s\n",
-		o.Seed, o.Verdict, o.Scenario.Fleet.Nodes, o.Requests, o.Took.Seconds(), 100*o.LatePart, strings.Join(kinds, " "))
+		o.Seed, o.Verdict, o.Scenario.Fleet.Nodes, o.Requests, o.Elapsed.Seconds(), 100*o.OverloadedFraction, strings.Join(kinds, " "))
 	for _, kind := range o.IdleFaults {
 		_, _ = fmt.Fprintf(s.Out, "  %s did nothing\n", kind)
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -43,7 +43,7 @@
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if again, first := asText(t, read), asText(t, scenario); again != first {
+		if again, first := scenarioText(t, read), scenarioText(t, scenario); again != first {
 			t.Fatalf("seed %d: read back as another", seed)
 		}
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// asText returns a scenario's file, in which an empty list and none are the same.
-func asText(t *testing.T, scenario *emulator.Scenario) string {
+// scenarioText returns a scenario's file, in which an empty list and none are the same.
+func scenarioText(t *testing.T, scenario *emulator.Scenario) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "text.toml")
 	if err := soak.WriteSchedule(file, scenario); err != nil {
@@ -118,14 +118,14 @@
 	player := newSoak(t, nil)
 	for _, seed := range []uint64{1, 5, 8, largeSeed} {
 		scenario := soak.Draw(seed, soak.DrawOptions{Proxies: 6, Seconds: 5, Large: seed == largeSeed})
-		outcome, err := player.Play(t.Context(), scenario, seed)
+		outcome, err := player.Run(t.Context(), scenario, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		switch outcome.Verdict {
 		case soak.Violated:
 			t.Errorf("seed %d: %v", seed, outcome.Violations)
-		case soak.Late:
+		case soak.Overloaded:
 			t.Logf("seed %d: the machine had no time for the load: no verdict", seed)
 		case soak.Idle:
 			t.Errorf("seed %d: %v did nothing", seed, outcome.IdleFaults)
@@ -146,7 +146,7 @@
 			if plant.Scenario != nil {
 				plant.Scenario(scenario)
 			}
-			outcome, err := player.Play(t.Context(), scenario, 1)
+			outcome, err := player.Run(t.Context(), scenario, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
