--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -8,24 +8,24 @@
 	"woodproxy/internal/emulator"
 )
 
-// DrawOptions bound what is drawn.
+// DrawOptions bound the scenarios that Draw returns.
 type DrawOptions struct {
 	Proxies int
 	Seconds float64
-	Kinds   []string // of faults; none: all
-	Large   bool     // one fleet in four has hundreds or thousands of servers, and few proxies
+	Kinds   []string // kinds of faults; all kinds if empty
+	Large   bool     // one fleet in four has hundreds or thousands of servers and few proxies
 }
 
-// Times of a schedule, in seconds.
+// Times of a fault schedule, in seconds.
 const (
-	firstFault   = 0.8
-	faultFreeEnd = 1.6 // without a fault, before the end
-	slotLength   = 1.4 // in each of which two or three faults begin
-	minDuration  = 0.6
-	maxDuration  = 2.8
+	firstFault   = 0.8 // start of the earliest fault
+	faultFreeEnd = 1.6 // at the end of the scenario, without faults
+	slotLength   = 1.4 // two or three faults start in each slot
+	minDuration  = 0.6 // of a fault
+	maxDuration  = 2.8 // of a fault
 )
 
-// faultDraw draws the figures of one kind of fault.
+// faultDraw draws the parameters of one kind of fault.
 type faultDraw struct {
 	kind   string
 	weight int
@@ -46,7 +46,8 @@
 	}
 }
 
-// systemCallFault draws a system call that fails, at several proxies: each time, or one time in some.
+// systemCallFault draws a system call fault at one or more proxies. Half of the draws have the full probability most, the
+// others a lower one.
 func systemCallFault(most float64) func(*drawer, *emulator.Fault) {
 	return func(d *drawer, f *emulator.Fault) {
 		f.Count, f.Variant = d.intBetween(1, d.scenario.Proxies), d.random.IntN(10)
@@ -63,7 +64,7 @@
 	}
 }
 
-// faultDraws are the kinds that are drawn. The weights make up for kinds that come in several forms.
+// faultDraws are the kinds of faults, with weights. A kind that has several forms has a higher weight.
 var faultDraws = []faultDraw{
 	{"restart", 3, proxyCount(1, 4)},
 	{"kill", 3, proxyCount(1, 3)},
@@ -101,7 +102,7 @@
 	{"fail-connect", 2, systemCallFault(1)},
 	{"fail-accept", 3, systemCallFault(0.7)},
 	{"break-conns", 2, systemCallFault(0.1)},
-	{"interrupt", 1, systemCallFault(0.5)}, // each time, and the program would do nothing else
+	{"interrupt", 1, systemCallFault(0.5)}, // if every call were interrupted, the program would do nothing but retry
 	{"short-read", 1, systemCallFault(1)},
 	{"short-write", 1, systemCallFault(1)},
 	{"fail-disk", 1, systemCallFault(1)},
@@ -112,7 +113,7 @@
 	}},
 }
 
-// Kinds returns the kinds of faults that are drawn, in a fixed order.
+// Kinds returns the kinds of faults that can be drawn, in alphabetical order.
 func Kinds() []string {
 	kinds := []string{kindCrowd}
 	for _, d := range faultDraws {
@@ -128,14 +129,14 @@
 	scenario *emulator.Scenario
 }
 
-// intBetween draws a number, both bounds included.
+// intBetween draws an integer from least to most, both included.
 func (d *drawer) intBetween(least, most int) int { return least + d.random.IntN(max(most-least, 0)+1) }
 
 func (d *drawer) floatBetween(least, most float64) float64 {
 	return least + d.random.Float64()*(most-least)
 }
 
-// oneIn is true in one case of so many.
+// oneIn returns true with a probability of 1/in.
 func (d *drawer) oneIn(in int) bool { return d.random.IntN(in) == 0 }
 
 // Draw draws a scenario with its faults from a seed. The same seed and options give the same scenario.
@@ -157,10 +158,11 @@
 	return d.scenario
 }
 
-// kindCrowd is a kind that is drawn apart from the others, which so stay as they are.
+// kindCrowd is a kind of fault that is drawn from a random source of its own, so that it does not change the sequence of
+// the other draws.
 const kindCrowd = "crowd"
 
-// drawCrowd adds a crowd to one scenario in four.
+// drawCrowd adds a crowd fault to one scenario in four.
 func (d *drawer) drawCrowd(seed uint64) {
 	random, s := rand.New(rand.NewPCG(seed, 53)), d.scenario
 	if random.IntN(4) > 0 {
@@ -190,11 +192,12 @@
 	s.Limits = emulator.Limits{Cores: 1, MemoryMB: 64, Sockets: 512, Hedging: d.oneIn(2)}
 }
 
-// maxProxiesOfLargeFleet bounds the descriptors that the stand-ins of a large fleet take: each has one for each proxy.
+// maxProxiesOfLargeFleet bounds the file descriptors that the emulated servers of a large fleet use: each server holds one
+// for each proxy.
 const maxProxiesOfLargeFleet = 3
 
-// enlarge gives one fleet in four many servers, which have the same capacity together. Its draws are apart from the
-// others, which so stay as they are.
+// enlarge gives one fleet in four many more servers with the same total capacity. It draws from a random source of its
+// own, so that it does not change the sequence of the other draws.
 func (d *drawer) enlarge(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 52))
 	if random.IntN(4) > 0 {
@@ -216,7 +219,7 @@
 	}
 }
 
-// drawFeatures turns on what is off where proxies are deployed alone, in some scenarios.
+// drawFeatures turns on, in some scenarios, zone health, gossip and state files, which are optional in a deployment.
 func (d *drawer) drawFeatures() {
 	s := d.scenario
 	if len(s.Fleet.Zones) > 0 && d.oneIn(2) {
@@ -228,7 +231,7 @@
 	s.State = d.oneIn(3)
 }
 
-// drawFaults fills the scenario with faults of which two or three overlap.
+// drawFaults adds faults to the scenario, of which two or three overlap on average.
 func (d *drawer) drawFaults(kinds []string) {
 	s := d.scenario
 	var pool []faultDraw
--- a/internal/soak/plants.go
+++ b/internal/soak/plants.go
@@ -5,24 +5,24 @@
 	"woodproxy/internal/faultbuild"
 )
 
-// Plant is a mistake that is built into the proxy to show that a rule fires.
+// Plant is a bug that is deliberately built into the proxy to test that a rule finds it.
 type Plant struct {
 	Name    string
-	Rule    emulator.Rule // that it breaks
+	Rule    emulator.Rule // rule that the bug violates
 	Patches []faultbuild.Patch
-	Kinds   []string // faults under which it shows; none: any
-	// Scenario changes a drawn scenario so that the mistake shows; nil: any shows it.
+	Kinds   []string // kinds of faults that expose the bug; any kind if empty
+	// Scenario changes a drawn scenario so that it exposes the bug. It is nil if any scenario does.
 	Scenario func(*emulator.Scenario)
 }
 
-// slowStartUnderLoad has few nodes that start very slowly under a high load.
+// slowStartUnderLoad gives the scenario few nodes, a long slow start and a high load.
 func slowStartUnderLoad(s *emulator.Scenario) {
 	s.Fleet.Nodes, s.Fleet.Cores, s.Fleet.ServiceMS = 5, 1, 8
 	s.Fleet.SlowStartS, s.Fleet.InitialSpeed = 30, 0.05
 	s.Load.Rate = 375
 }
 
-// longScenario lasts for longer than a proxy has to be silent until it counts as hung.
+// longScenario makes the scenario longer than the silence after which a proxy is reported as hung.
 func longScenario(s *emulator.Scenario) { s.LengthS = max(s.LengthS, 9) }
 
 const (
@@ -34,7 +34,7 @@
 	openForClients = "	s.awaitEndpoints()\n	s.clientListener.Open()\n"
 )
 
-// Plants are the mistakes that can be planted.
+// Plants are the bugs that can be built into the proxy.
 var Plants = []Plant{
 	{"late-attempt", emulator.LateAttemptRule, []faultbuild.Patch{
 		{File: roundTripFile, Old: "	if refusal, err := u.writeRequest(attempt, until); !refusal.Permitted() {", New: "	if time.Now().UnixNano()%20 == 0 {\n		time.Sleep(400 * time.Millisecond)\n	}\n	if refusal, err := u.writeRequest(attempt, until); !refusal.Permitted() {"},
@@ -91,7 +91,7 @@
 	}, nil, nil},
 }
 
-// FindPlant returns the plant of a name, nil where there is none.
+// FindPlant returns the plant with the given name, or nil if there is none.
 func FindPlant(name string) *Plant {
 	for i := range Plants {
 		if Plants[i].Name == name {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// CheckPlant returns an error unless a plant's patches match the sources.
+// CheckPlant returns an error unless the patches of the plant match the sources of the module.
 func CheckPlant(module string, plant *Plant) error {
 	return faultbuild.CheckPatches(module, plant.Patches)
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -17,37 +17,39 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Verdict is what came of a scenario.
+// Verdict is the result of running a scenario.
 type Verdict int
 
 // Verdicts.
 const (
 	Clean      Verdict = iota
-	Violated           // an invariant was broken
-	Overloaded         // the machine had no time for the load, so that nothing is shown
-	Idle               // a drawn fault did nothing
+	Violated           // an invariant was violated
+	Overloaded         // the machine was overloaded, so that the run proves nothing
+	Idle               // a drawn fault had no effect
 )
 
 var verdictNames = [...]string{"clean", "violated", "late", "idle"}
 
-// maxOverloadedFraction is the part of a scenario's time that may lie near late moments of the machine where it has a verdict.
+// maxOverloadedFraction is the maximum fraction of a scenario's time during which the machine may be overloaded. A scenario
+// above it that shows no violation gets the verdict Overloaded.
 const maxOverloadedFraction = 0.5
 
-// String returns the verdict in tables.
+// String returns the name of the verdict as it is printed.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// maxShrinkRuns bounds how often a violation is played again to find the fewest faults that show it.
+// maxShrinkRuns is the maximum number of runs in which Shrink searches for the fewest faults that cause a violation.
 const maxShrinkRuns = 14
 
-// Soak plays scenarios.
+// Soak runs scenarios and judges them.
 type Soak struct {
-	Program string // the proxy, built with faults
-	Dir     string // for files and logs; those of clean scenarios are removed, unless they are kept
-	Keep    bool
-	Out     io.Writer
+	Program string    // path of the proxy, which is built with fault injection
+	Dir     string    // directory for configurations and logs
+	Keep    bool      // keep the files of clean scenarios, which are otherwise removed
+	Out     io.Writer // for Describe
 }
 
-// BuildProxy builds the proxy with faults, and a mistake where plant is not nil, and returns the program.
+// BuildProxy builds the proxy with fault injection, and with the bug of plant unless plant is nil. It returns the path of
+// the program.
 func BuildProxy(ctx context.Context, module, dir string, plant *Plant) (string, error) {
 	patched := filepath.Join(dir, "patched")
 	if err := os.MkdirAll(patched, 0o700); err != nil {
@@ -62,19 +64,19 @@
 	return options.Output, faultbuild.Build(ctx, options)
 }
 
-// Outcome is what came of one scenario.
+// Outcome is the result of one run of a scenario.
 type Outcome struct {
 	Seed               uint64
 	Scenario           *emulator.Scenario
 	Verdict            Verdict
-	Violations         []emulator.Violation // but for those near late moments of the machine
-	IdleFaults         []string             // kinds that were drawn and did nothing
-	OverloadedFraction float64              // of the time, near late moments
+	Violations         []emulator.Violation // without those that an overloaded machine may explain
+	IdleFaults         []string             // kinds of drawn faults that had no effect
+	OverloadedFraction float64              // fraction of the time during which the machine was overloaded
 	Requests           int
 	Elapsed            time.Duration
 }
 
-// Rules returns the rules that were broken, each once, in order of name.
+// Rules returns the rules that were violated, sorted and without duplicates.
 func (o *Outcome) Rules() []emulator.Rule {
 	var rules []emulator.Rule
 	for i := range o.Violations {
@@ -84,7 +86,8 @@
 	return slices.Compact(rules)
 }
 
-// Run plays a scenario once.
+// Run runs a scenario once, in a directory that it first empties. It returns an error if the scenario can't be run; a
+// proxy that does not become ready is a violation.
 func (s *Soak) Run(ctx context.Context, scenario *emulator.Scenario, seed uint64) (*Outcome, error) {
 	dir := filepath.Join(s.Dir, fmt.Sprint("seed", seed))
 	if err := os.RemoveAll(dir); err != nil {
@@ -124,14 +127,14 @@
 	return outcome, err
 }
 
-// Shrink plays a scenario that broke rules with one fault less, again and again, and returns the one with the fewest
-// faults that still breaks one of the rules.
+// Shrink runs a violating scenario repeatedly with one fault fewer, and returns the one with the fewest faults that still
+// violates one of the same rules. It stops after maxShrinkRuns runs or at the first run that fails.
 func (s *Soak) Shrink(ctx context.Context, found *Outcome) *emulator.Scenario {
-	rules, fewest, replays := found.Rules(), found.Scenario, 0
-	for i := len(fewest.Faults) - 1; i >= 0 && replays < maxShrinkRuns; i-- {
+	rules, fewest, runs := found.Rules(), found.Scenario, 0
+	for i := len(fewest.Faults) - 1; i >= 0 && runs < maxShrinkRuns; i-- {
 		fewer := *fewest
 		fewer.Faults = slices.Delete(slices.Clone(fewest.Faults), i, i+1)
-		replays++
+		runs++
 		outcome, err := s.Run(ctx, &fewer, found.Seed)
 		if err != nil {
 			return fewest
@@ -143,16 +146,16 @@
 	return fewest
 }
 
-// Describe prints what came of a scenario: one line, and the violations with their events.
+// Describe prints the outcome of a scenario: one line, the faults without effect, and the first violations.
 func (s *Soak) Describe(o *Outcome) {
 	var kinds []string
 	for _, fault := range o.Scenario.Faults {
 		kinds = append(kinds, fault.Kind)
 	}
-	_, _ = fmt.Fprintf(s.Out, "%d\t%v\t%d servers\t%d requests\t%.1f s, %.0f%% of it late\t%s\n",
+	_, _ = fmt.Fprintf(s.Out, "%d\t%v\t%d servers\t%d requests\t%.1f s, machine overloaded for %.0f%%\t%s\n",
 		o.Seed, o.Verdict, o.Scenario.Fleet.Nodes, o.Requests, o.Elapsed.Seconds(), 100*o.OverloadedFraction, strings.Join(kinds, " "))
 	for _, kind := range o.IdleFaults {
-		_, _ = fmt.Fprintf(s.Out, "  %s did nothing\n", kind)
+		_, _ = fmt.Fprintf(s.Out, "  %s had no effect\n", kind)
 	}
 
 	const maxPrinted = 5
@@ -165,7 +168,7 @@
 	}
 }
 
-// WriteSchedule writes a scenario with its faults, by which it can be played again.
+// WriteSchedule writes a scenario with its faults to a TOML file from which it can be run again.
 func WriteSchedule(path string, scenario *emulator.Scenario) error {
 	text, err := toml.Marshal(scenario)
 	if err != nil {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -16,8 +16,8 @@
 
 const moduleRoot = "../.."
 
-// The same seed draws the same scenario, others others, and each is one that the emulator plays and that its file gives
-// back.
+// The same seed draws the same scenario and another seed draws another. Each scenario is valid, and the file that is
+// written of it is read back unchanged.
 func TestDrawIsReproducible(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(300) {
@@ -27,7 +27,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if !reflect.DeepEqual(scenario, soak.Draw(seed, options)) || reflect.DeepEqual(scenario, soak.Draw(seed+1, options)) {
-			t.Fatalf("seed %d: not drawn by the seed alone", seed)
+			t.Fatalf("seed %d: the same seed draws different scenarios, or the next seed the same", seed)
 		}
 		for _, fault := range scenario.Faults {
 			kinds[fault.Kind] = true
@@ -44,7 +44,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if again, first := scenarioText(t, read), scenarioText(t, scenario); again != first {
-			t.Fatalf("seed %d: read back as another", seed)
+			t.Fatalf("seed %d: the scenario that is read back differs from the one written", seed)
 		}
 	}
 	for _, kind := range soak.Kinds() {
@@ -54,7 +54,7 @@
 	}
 }
 
-// scenarioText returns a scenario's file, in which an empty list and none are the same.
+// scenarioText returns the file content of a scenario without its empty lists, since nil and empty lists are equivalent.
 func scenarioText(t *testing.T, scenario *emulator.Scenario) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "text.toml")
@@ -68,7 +68,7 @@
 	return strings.NewReplacer("from = []\n", "", "to = []\n", "", "steps = []\n", "", "zones = []\n", "").Replace(string(text))
 }
 
-// At any time between the first fault and the end of the last two or three overlap, on the average.
+// Two to three faults overlap on average while faults are injected.
 func TestFaultsOverlap(t *testing.T) {
 	overlapping, moments := 0, 0
 	for seed := range uint64(100) {
@@ -83,23 +83,23 @@
 		}
 	}
 	if mean := float64(overlapping) / float64(moments); mean < 2 || mean > 4.5 {
-		t.Errorf("%.2f faults overlap in the mean", mean)
+		t.Errorf("got a mean of %.2f overlapping faults, want 2 to 4.5", mean)
 	}
 }
 
-// Only the kinds that are asked for are drawn.
+// Only the requested kinds of faults are drawn.
 func TestDrawTakesKinds(t *testing.T) {
 	want := []string{"clock-step", "restart"}
 	for seed := range uint64(20) {
 		for _, fault := range soak.Draw(seed, soak.DrawOptions{Proxies: 3, Seconds: 5, Kinds: want}).Faults {
 			if !slices.Contains(want, fault.Kind) {
-				t.Fatalf("%s is drawn", fault.Kind)
+				t.Fatalf("drew %s, want only the requested kinds", fault.Kind)
 			}
 		}
 	}
 }
 
-// newSoak builds a proxy, with a mistake where plant is not nil.
+// newSoak builds a proxy, with the bug of plant unless plant is nil.
 func newSoak(t *testing.T, plant *soak.Plant) *soak.Soak {
 	t.Helper()
 	dir := t.TempDir()
@@ -110,15 +110,15 @@
 	return &soak.Soak{Program: program, Dir: dir, Out: &bytes.Buffer{}}
 }
 
-// largeSeed draws a fleet of 3,200 servers.
+// largeSeed is a seed that draws a fleet of 3,200 servers.
 const largeSeed = 14
 
-// Four fixed seeds, one of them with 3,200 servers, keep all rules. A machine that has no time for one shows nothing.
+// Four fixed seeds, one of them with 3,200 servers, violate no rule. A run on an overloaded machine has no verdict.
 func TestFixedSeedsAreClean(t *testing.T) {
-	player := newSoak(t, nil)
+	runner := newSoak(t, nil)
 	for _, seed := range []uint64{1, 5, 8, largeSeed} {
 		scenario := soak.Draw(seed, soak.DrawOptions{Proxies: 6, Seconds: 5, Large: seed == largeSeed})
-		outcome, err := player.Run(t.Context(), scenario, seed)
+		outcome, err := runner.Run(t.Context(), scenario, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -126,38 +126,38 @@
 		case soak.Violated:
 			t.Errorf("seed %d: %v", seed, outcome.Violations)
 		case soak.Overloaded:
-			t.Logf("seed %d: the machine had no time for the load: no verdict", seed)
+			t.Logf("seed %d: the machine was overloaded: no verdict", seed)
 		case soak.Idle:
-			t.Errorf("seed %d: %v did nothing", seed, outcome.IdleFaults)
+			t.Errorf("seed %d: faults without effect: %v", seed, outcome.IdleFaults)
 		}
 	}
 }
 
-// Mistakes that are planted in the proxy are found: here one that upstreams see, one that clients see, and those of the
-// rules on what a process uses, on a process that hangs, and on commands that no client has sent. emulator soak --plant
-// plays the others.
+// Bugs that are built into the proxy are found: one that upstreams observe, one that clients observe, and those for the
+// rules on memory, on descriptors, on a process that hangs and on commands that no client has sent. The other plants are
+// run with emulator soak --plant.
 func TestPlantsAreFound(t *testing.T) {
 	for _, name := range []string{"told-deadline", "other-value", "memory", "descriptors", "hung", "invented"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			plant := soak.FindPlant(name)
-			player := newSoak(t, plant)
+			runner := newSoak(t, plant)
 			scenario := soak.Draw(1, soak.DrawOptions{Proxies: 3, Seconds: 4, Kinds: []string{"restart"}})
 			if plant.Scenario != nil {
 				plant.Scenario(scenario)
 			}
-			outcome, err := player.Run(t.Context(), scenario, 1)
+			outcome, err := runner.Run(t.Context(), scenario, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !slices.Contains(outcome.Rules(), plant.Rule) {
-				t.Errorf("%v, and %q is planted", outcome.Rules(), plant.Rule)
+				t.Errorf("got violations of %v, want %q among them", outcome.Rules(), plant.Rule)
 			}
 		})
 	}
 }
 
-// Each rule that the soak judges by has a plant, and each plant's patches match the sources.
+// The patches of each plant match the sources.
 func TestPlantsMatchSources(t *testing.T) {
 	for i := range soak.Plants {
 		plant := &soak.Plants[i]
