--- a/internal/faultbuild/build.go
+++ b/internal/faultbuild/build.go
@@ -10,15 +10,15 @@
 	"strings"
 )
 
-// Options say what is built.
+// Options are the inputs and outputs of Build.
 type Options struct {
 	Module  string   // root directory of this module
-	Package string   // to build, as go build takes it
-	Output  string   // the program
-	Dir     string   // for the patched files
-	Faults  bool     // patch the toolchain
-	Patches []Patch  // of the module's own files, for mistakes that are planted
-	Env     []string // besides the process's own
+	Package string   // package to build, as an argument of go build
+	Output  string   // path of the program
+	Dir     string   // directory for the patched files
+	Faults  bool     // patch the toolchain for fault injection
+	Patches []Patch  // patches of the module's own files, which build in plants
+	Env     []string // environment of go build, added to that of this process
 }
 
 // overlay is the file that go build -overlay reads.
@@ -26,9 +26,9 @@
 	Replace map[string]string
 }
 
-// Build builds a program with its patches. The output of a build that fails is part of the error.
+// Build builds a program with its patches. If the build fails, the error includes the output of go build.
 func Build(ctx context.Context, options Options) error {
-	// The overlay is read from the module's directory.
+	// go build runs in the module's directory, so the paths must be absolute.
 	for _, path := range []*string{&options.Module, &options.Output, &options.Dir} {
 		absolute, err := filepath.Abs(*path)
 		if err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// patchedFiles writes patched files into a directory.
+// patchedFiles writes patched files into a directory and collects them in an overlay.
 type patchedFiles struct {
 	dir     string
 	overlay overlay
@@ -76,7 +76,7 @@
 	return f.write(filepath.Join(source, hookFile), hookSource)
 }
 
-// patch writes the patched files under a root.
+// patch applies patches to files below root and adds the results to the overlay.
 func (f *patchedFiles) patch(root string, patches []Patch) error {
 	contents, err := patchContents(root, patches)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// write has a content stand in for a file of the build.
+// write writes content to a new file, which replaces file in the build.
 func (f *patchedFiles) write(file, content string) error {
 	patched := filepath.Join(f.dir, fmt.Sprintf("%d-%s", len(f.overlay.Replace), filepath.Base(file)))
 	if err := os.WriteFile(patched, []byte(content), 0o600); err != nil {
@@ -112,14 +112,15 @@
 	return file, nil
 }
 
-// CheckPatches returns a PatchError unless patches match the files of a module.
+// CheckPatches returns a PatchError if a patch does not match its file in the module, or another error if the file can't
+// be read.
 func CheckPatches(module string, patches []Patch) error {
 	_, err := patchContents(module, patches)
 	return err
 }
 
-// patchContents returns the patched contents of files under a root, by file. Patches of one file are applied one after
-// the other.
+// patchContents returns the patched contents of files below root, keyed by the file of the patch. Several patches of one
+// file are applied in their order.
 func patchContents(root string, patches []Patch) (map[string]string, error) {
 	contents := map[string]string{}
 	for i := range patches {
--- a/internal/faultbuild/build_test.go
+++ b/internal/faultbuild/build_test.go
@@ -16,7 +16,8 @@
 	"woodproxy/internal/faultbuild"
 )
 
-// program does the calls that can be made to fail, one line of standard input each, and says what came of it.
+// program makes the calls that can be made to fail. It reads the name of a call from each line of standard input and prints
+// the result.
 const program = `package main
 
 import (
@@ -55,7 +56,7 @@
 			conn, _ := net.Dial("tcp", listener.Addr().String())
 			other, err := listener.Accept()
 			fmt.Println(text(err))
-			for err != nil { // who waits is still there
+			for err != nil { // the connection is still in the listener's queue
 				time.Sleep(time.Millisecond)
 				other, err = listener.Accept()
 			}
@@ -86,7 +87,7 @@
 }
 `
 
-// process runs the program with a page.
+// process is a running program and the page that controls its faults.
 type process struct {
 	t    *testing.T
 	page *faultbuild.Page
@@ -134,21 +135,22 @@
 	return &process{t, page, inWriter, bufio.NewScanner(out)}
 }
 
-// do has the program do a call and checks what came of it.
+// do makes the program perform a call and checks the result.
 func (p *process) do(call, want string) {
 	p.t.Helper()
 	if _, err := fmt.Fprintln(p.in, call); err != nil {
 		p.t.Fatal(err)
 	}
 	if !p.out.Scan() {
-		p.t.Fatalf("%s: the program has ended", call)
+		p.t.Fatalf("%s: the program has exited", call)
 	}
 	if got := p.out.Text(); got != want {
-		p.t.Errorf("%s: %q, want %q", call, got, want)
+		p.t.Errorf("%s: got %q, want %q", call, got, want)
 	}
 }
 
-// Calls fail and come short as the page says, while it says so, and the wall clock steps while the monotonic one runs on.
+// Calls fail or are shortened while the page says so and work again afterwards. A step of the wall clock does not affect
+// the monotonic clock.
 func TestFaultsOfRunningProcess(t *testing.T) {
 	p := startProgram(t)
 	calls := []string{"dial", "accept", "exchange", "file", "clock"}
@@ -180,7 +182,7 @@
 		p.do(test.call, test.result)
 		p.page.Set(test.fault, faultbuild.Fault{})
 		if p.page.Injected(test.fault) == 0 {
-			t.Errorf("call %d: none was affected", test.fault)
+			t.Errorf("call %d: got no injected faults, want at least one", test.fault)
 		}
 		allGood()
 	}
@@ -190,7 +192,7 @@
 	p.do("clock", "-1h0m5s")
 }
 
-// A file that no longer holds what is patched, or holds it twice, is an error that names it.
+// If a file does not contain the text to patch, or contains it twice, the error names the file and the text.
 func TestBuildNamesFileThatDoesNotMatch(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "main.go"), []byte("package main\n\nfunc main() {}\n"), 0o600); err != nil {
@@ -203,7 +205,7 @@
 		})
 		var patch *faultbuild.PatchError
 		if !errors.As(err, &patch) || !strings.Contains(err.Error(), "main.go") || !strings.Contains(err.Error(), old) {
-			t.Errorf("%q: %v", old, err)
+			t.Errorf("%q: got error %v, want a PatchError with the file and the text", old, err)
 		}
 	}
 }
--- a/internal/faultbuild/hook.go
+++ b/internal/faultbuild/hook.go
@@ -1,6 +1,6 @@
 package faultbuild
 
-// hookSource is added to the toolchain's package syscall. Its layout of the page is that of page.go.
+// hookSource is added to the standard library's package syscall. Its injectedPage must match pageLayout in page.go.
 const hookSource = `package syscall
 
 import (
@@ -41,10 +41,10 @@
 )
 
 var (
-	injectedState  atomic.Uint32 // 0: not looked for, 1: being opened, 2: none, 3: there is one
+	injectedState  atomic.Uint32 // 0: not looked up, 1: being opened, 2: no page, 3: opened
 	injectedMemory atomic.Pointer[injectedPage]
 	injectedRandom atomic.Uint64
-	injectedKinds  [1 << 16]atomic.Uint32 // by descriptor
+	injectedKinds  [1 << 16]atomic.Uint32 // by descriptor; 0: not a tracked socket
 )
 
 func injectedFaults() *injectedPage {
@@ -76,7 +76,8 @@
 	return uint32((x ^ x>>31) % 1000)
 }
 
-// injectedFault returns whether a call is to fail, or how many bytes it may carry, 0 for all.
+// injectedFault returns the error with which a call is to fail, 0 for none, and the maximum number of bytes that it may
+// transfer, 0 for no limit.
 func injectedFault(call int) (errno Errno, short int) {
 	page := injectedFaults()
 	if page == nil {
@@ -143,7 +144,7 @@
 	return fd, err
 }
 
-// injectedBreak breaks a connection that the process has opened itself, as a network that is gone does.
+// injectedBreak shuts down a connection that the process itself opened, to simulate a network failure.
 func injectedBreak(fd int) Errno {
 	if injectedKind(fd) != injectedOwn {
 		return 0
--- a/internal/faultbuild/page.go
+++ b/internal/faultbuild/page.go
@@ -9,35 +9,36 @@
 	"unsafe"
 )
 
-// Call names what can be made to fail.
+// Call is a kind of system call that can be made to fail.
 type Call int
 
-// Calls, in the order of the page.
+// Kinds of calls, in their order in the page.
 const (
 	CallSocket    Call = iota
-	CallConnect        // fails at once
-	CallAccept         // who waits stays in the listener's queue
+	CallConnect        // fails immediately
+	CallAccept         // the connection stays in the listener's queue
 	CallRead           // of sockets
 	CallWrite          // of sockets
-	CallFileWrite      // of regular files; with Short, so much is written before it fails
+	CallFileWrite      // of regular files; Short bytes are written before the call fails
 	CallSync
-	CallBroken // read or write of a connection that the process has opened, which is broken from then on
+	CallBroken // read or write of a connection that the process opened; the connection is shut down
 	numCalls
 )
 
+// pageBytes is the size of the file. It equals injectedBytes in hookSource.
 const pageBytes = 4096
 
-// EnvironmentVariable names the page's file to the proxy.
+// EnvironmentVariable is the name of the environment variable that holds the path of the page for the proxy.
 const EnvironmentVariable = "WOODPROXY_FAULT_PAGE"
 
-// Fault is how calls fail or come short.
+// Fault describes how calls fail or are shortened.
 type Fault struct {
-	Errno    syscall.Errno // 0: they come short only
-	PerMille int           // of the calls that are affected; 0: none
-	Short    int           // bytes that a call carries at most; 0: all
+	Errno    syscall.Errno // error of the call; 0: the call is only shortened
+	PerMille int           // fraction of the calls that are affected, in thousandths; 0: none
+	Short    int           // maximum number of bytes that a call transfers; 0: no limit
 }
 
-// pageCall and pageLayout are the page's content, which hookSource knows as well.
+// pageCall and pageLayout are the layout of the page. They must match injectedCall and injectedPage in hookSource.
 type pageCall struct {
 	errno    uint32
 	perMille uint32
@@ -53,19 +54,19 @@
 	calls      [numCalls]pageCall
 }
 
-// Page steers the faults of one process, and of those that follow it with the same file.
+// Page controls the faults of one process, and of later processes that are started with the same file.
 type Page struct {
 	memory []byte
 	layout *pageLayout
 }
 
-// NewPage creates a page without faults at a path.
+// NewPage creates a page without faults in a file at path, which it truncates if it exists.
 func NewPage(path string) (*Page, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // the mapping stays
+	defer func() { _ = file.Close() }() // the mapping remains valid
 	if err := file.Truncate(pageBytes); err != nil {
 		return nil, err
 	}
@@ -76,7 +77,7 @@
 	return &Page{memory: memory, layout: (*pageLayout)(unsafe.Pointer(&memory[0]))}, nil
 }
 
-// Set has a call fail from now on, or no more.
+// Set sets the fault of a kind of call. The zero Fault ends it.
 func (p *Page) Set(call Call, fault Fault) {
 	c := &p.layout.calls[call]
 	atomic.StoreUint32(&c.perMille, 0)
@@ -85,15 +86,15 @@
 	atomic.StoreUint32(&c.perMille, uint32(fault.PerMille))
 }
 
-// Injected returns how many calls were affected.
+// Injected returns the number of calls of a kind that were affected.
 func (p *Page) Injected(call Call) int64 {
 	return int64(atomic.LoadUint64(&p.layout.calls[call].injected))
 }
 
-// StepWallClock moves the wall clock by a span, which is rounded to seconds.
+// StepWallClock moves the wall clock of the process by a duration, which is truncated to whole seconds.
 func (p *Page) StepWallClock(by time.Duration) {
 	atomic.AddInt64(&p.layout.wallOffset, int64(by/time.Second))
 }
 
-// Close unmaps the page. A process that uses it keeps it.
+// Close unmaps the page. Processes that have mapped it keep their mapping.
 func (p *Page) Close() error { return syscall.Munmap(p.memory) }
--- a/internal/faultbuild/patch.go
+++ b/internal/faultbuild/patch.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// PatchError reports a file that does not hold the text that is to be replaced exactly once.
+// PatchError reports that a file does not contain the text to be replaced exactly once.
 type PatchError struct {
 	File  string
 	Text  string
@@ -13,16 +13,16 @@
 }
 
 func (e *PatchError) Error() string {
-	return fmt.Sprintf("faultbuild: %s: %q occurs %d times, and 1 is needed; the patch is for another version", e.File, e.Text, e.Count)
+	return fmt.Sprintf("faultbuild: %s: %q occurs %d times, want once; the patch is for another version", e.File, e.Text, e.Count)
 }
 
 // Patch replaces one text in one file.
 type Patch struct {
-	File     string // within the toolchain's src directory, or within the module
+	File     string // path relative to GOROOT/src or to the root of the module
 	Old, New string
 }
 
-// apply returns the content with the text replaced.
+// apply returns content with Old replaced by New. It fails unless Old occurs exactly once.
 func (p *Patch) apply(content string) (string, error) {
 	if n := strings.Count(content, p.Old); n != 1 {
 		return "", &PatchError{File: p.File, Text: p.Old, Count: n}
@@ -32,10 +32,11 @@
 
 const (
 	systemCallFile = "syscall/zsyscall_linux_amd64.go"
-	hookFile       = "syscall/zz_injected_faults.go" // is added
+	hookFile       = "syscall/zz_injected_faults.go" // added to package syscall, with the content of hookSource
 )
 
-// toolchainPatches have each call go through a function of hookSource, which calls the original under its new name.
+// toolchainPatches rename the original functions for system calls, so that the functions of hookSource take their place and
+// call the originals, and add the offset of the wall clock to time.Now.
 var toolchainPatches = []Patch{
 	{systemCallFile, "func socket(domain int,", "func originalSocket(domain int,"},
 	{systemCallFile, "func connect(s int,", "func originalConnect(s int,"},
