--- a/cmd/emulator/check.go
+++ b/cmd/emulator/check.go
@@ -10,10 +10,10 @@
 
 // checkCommand checks scenario and experiment files without running them.
 type checkCommand struct {
-	Files []string `arg:"" help:"Days or experiments."`
+	Files []string `arg:"" help:"Scenario or experiment files."`
 }
 
-// Run stops at the first bad file.
+// Run prints one line for each valid file and returns the error of the first invalid one.
 func (c *checkCommand) Run(context.Context) error {
 	for _, file := range c.Files {
 		check := checkScenario
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: good; %d days are to be played\n", file, len(e.Schedule()))
+	fmt.Printf("%s: good; %d runs\n", file, len(e.Schedule()))
 	return nil
 }
 
@@ -41,6 +41,6 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: good; %d requests under seed 1\n", file, len(scenario.NewPlan(1).Requests))
+	fmt.Printf("%s: good; %d requests with seed 1\n", file, len(scenario.NewPlan(1).Requests))
 	return nil
 }
--- a/cmd/emulator/experiment.go
+++ b/cmd/emulator/experiment.go
@@ -10,12 +10,12 @@
 
 // experimentCommand runs an experiment and writes its table.
 type experimentCommand struct {
-	File string `arg:"" help:"The experiment's file."`
+	File string `arg:"" help:"The experiment file."`
 	Out  string `required:"" help:"The table to write."`
-	Dir  string `default:"found/experiment" help:"Where configurations and logs are kept."`
+	Dir  string `default:"found/experiment" help:"Directory for configurations and logs; it must be empty or not exist."`
 }
 
-// Run removes the directory if the experiment is interrupted, so that it can be started again.
+// Run runs the experiment. If it is interrupted, Run removes the directory, so that the experiment can be started again.
 func (c *experimentCommand) Run(ctx context.Context) error {
 	e, err := experiment.Read(c.File)
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 	table, err := e.Run(ctx, c.Dir, func(line string) { fmt.Println(line) })
 	if ctx.Err() != nil {
-		_ = os.RemoveAll(c.Dir) // what is left is reported by the next start, which needs an empty directory
+		_ = os.RemoveAll(c.Dir) // if this fails, the next start reports that the directory is not empty
 	}
 	if err != nil {
 		return err
--- a/cmd/emulator/growth.go
+++ b/cmd/emulator/growth.go
@@ -12,26 +12,28 @@
 	"woodproxy/internal/experiment"
 )
 
-// growthCommand plays a day as it is and with more servers of the same capacity together, and compares the needs.
+// growthCommand runs a scenario as it is and with more servers of the same total capacity, and compares the resources that
+// a proxy needs.
 type growthCommand struct {
-	Day     string   `arg:"" help:"The day's file."`
-	Servers int      `default:"3200" help:"How many caches the second play has."`
-	Seed    uint64   `default:"1" help:"Who asks what when, and which trouble hits whom."`
-	Program []string `default:"bin/woodproxy,serve" help:"The proxy, with its words."`
-	Dir     string   `default:"found/growth" help:"Where configurations and logs are kept; it must not exist or be empty."`
+	Day     string   `arg:"" help:"The scenario file."`
+	Servers int      `default:"3200" help:"Number of cache servers in the second run."`
+	Seed    uint64   `default:"1" help:"Seed of the request schedule and of the targets of faults."`
+	Program []string `default:"bin/woodproxy,serve" help:"The command that starts the proxy, with its arguments."`
+	Dir     string   `default:"found/growth" help:"Directory for configurations and logs; it must be empty or not exist."`
 }
 
-// errGrowth fails a comparison in which the second play needed more than it may.
-var errGrowth = errors.New("at more servers a proxy needs more than it may")
+// errGrowth is returned if a need of the second run exceeds its bound.
+var errGrowth = errors.New("with more servers, a need of the proxy exceeds its bound")
 
-// growthRow is one of a proxy's needs, with what it may be by the operators' page.
+// growthRow is one of a proxy's needs and its bound, as the operators' page states it: the need of the first run times
+// factor, plus extra, plus perThousand for each thousand servers.
 type growthRow struct {
 	name        string
 	value       func(n *emulator.Needs) float64
-	factor      float64 // of the usual need
-	extra       float64
-	perThousand float64 // servers
-	isFloor     bool    // the need may not be less, rather than not more
+	factor      float64 // of the need of the first run
+	extra       float64 // constant term
+	perThousand float64 // for each thousand servers
+	isFloor     bool    // the bound is a minimum instead of a maximum
 }
 
 var growthRows = []growthRow{
@@ -40,10 +42,10 @@
 	{"descriptors", func(n *emulator.Needs) float64 { return n.Descriptors }, 2, 40, 0, false},
 	{"connections made", func(n *emulator.Needs) float64 { return n.ConnsToNodes }, 2.5, 40, 0, false},
 	{"list bytes, KB", func(n *emulator.Needs) float64 { return n.ListBytes / 1000 }, 2, 64, 500, false},
-	{"share served", func(n *emulator.Needs) float64 { return n.CompletedPart }, 0.85, 0, 0, true},
+	{"fraction completed", func(n *emulator.Needs) float64 { return n.CompletedPart }, 0.85, 0, 0, true},
 }
 
-// Run prints a table and returns errInvariantViolated after a violation, errGrowth after a need beyond its bound.
+// Run prints a table. It returns errInvariantViolated after a violation, and otherwise errGrowth if a need exceeds its bound.
 func (c *growthCommand) Run(ctx context.Context) error {
 	usual, err := emulator.ReadScenario(c.Day)
 	if err != nil {
@@ -70,7 +72,7 @@
 			fmt.Printf("%d servers: %v\n", scenario.Fleet.Nodes, violation)
 		}
 		if !report.OnTime {
-			fmt.Printf("%d servers: the load ran late\n", scenario.Fleet.Nodes)
+			fmt.Printf("%d servers: the load generator fell behind its schedule\n", scenario.Fleet.Nodes)
 		}
 		needs = append(needs, report.Needs)
 	}
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// printGrowth prints the needs of both plays with their bounds, and reports whether one is beyond its bound.
+// printGrowth prints the needs of both runs with their bounds, and reports whether one exceeds its bound.
 func printGrowth(usualServers, servers int, usual, many *emulator.Needs) (exceeded bool) {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(table, "a proxy\t%d servers\t%d servers\tbound\n", usualServers, servers)
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -21,10 +21,10 @@
 	}
 }
 
-// exitBadUsage is the exit code after bad usage.
+// exitBadUsage is the exit code after an error in the command line or a file.
 const exitBadUsage = 2
 
-// exitOnBadFlags ends the process where the command line could not be parsed, or was a call for help.
+// exitOnBadFlags exits after an error in the command line, or after the help text.
 func exitOnBadFlags(code int) {
 	if code != 0 {
 		code = exitBadUsage
@@ -32,7 +32,7 @@
 	os.Exit(code)
 }
 
-// exitCode returns 1 for a violation and for what goes wrong, 2 for bad usage, 3 where the machine had no time.
+// exitCode returns 2 for a usageError, 3 if the machine was overloaded, and 1 for a violation and any other error.
 func exitCode(err error) int {
 	var usage usageError
 	switch {
@@ -44,22 +44,22 @@
 	return 1
 }
 
-// run parses the command line and runs its command until it ends or the process is interrupted.
+// run parses the command line and runs the command, whose context ends when the process is interrupted.
 func run() error {
 	var commands struct {
-		Check      checkCommand      `cmd:"" help:"Say whether days or experiments are good."`
-		Play       playCommand       `cmd:"" help:"Play a day and check the rules."`
-		Soak       soakCommand       `cmd:"" help:"Play drawn scenarios with overlapping faults, and judge them by invariants."`
-		Growth     growthCommand     `cmd:"" help:"Play a day as it is and with more servers, and compare what a proxy needs."`
-		Experiment experimentCommand `cmd:"" help:"Play days x seeds x variants and keep a table."`
-		Compare    compareCommand    `cmd:"" help:"Say by how much variants differ."`
-		Null       nullCommand       `cmd:"" help:"Answer every request at once, to measure what the load itself costs."`
-		Spread     spreadCommand     `cmd:"" help:"Play one change through simulated fleets of proxies, and say how long it takes."`
+		Check      checkCommand      `cmd:"" help:"Check scenario or experiment files without running them."`
+		Play       playCommand       `cmd:"" help:"Run a scenario and check its invariants."`
+		Soak       soakCommand       `cmd:"" help:"Run drawn scenarios with overlapping faults and check their invariants."`
+		Growth     growthCommand     `cmd:"" help:"Run a scenario as it is and with more servers, and compare the resources that a proxy needs."`
+		Experiment experimentCommand `cmd:"" help:"Run scenarios x seeds x variants and write a table."`
+		Compare    compareCommand    `cmd:"" help:"Compare the variants of a table."`
+		Null       nullCommand       `cmd:"" help:"Reply to every request at once, to measure the cost of the load generator."`
+		Spread     spreadCommand     `cmd:"" help:"Measure how long one change takes to reach all proxies of simulated fleets."`
 		Chart      chartCommand      `cmd:"" help:"Draw a column of a table."`
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	parsed := kong.Parse(&commands, kong.Name("emulator"), kong.Description("Plays days of a deployment on loopback, with real proxies."),
+	parsed := kong.Parse(&commands, kong.Name("emulator"), kong.Description("Runs scenarios of a deployment on loopback, with real proxies."),
 		kong.Exit(exitOnBadFlags))
 	parsed.BindTo(ctx, (*context.Context)(nil))
 	return parsed.Run()
--- a/cmd/emulator/play.go
+++ b/cmd/emulator/play.go
@@ -9,18 +9,18 @@
 	"woodproxy/internal/experiment"
 )
 
-// errInvariantViolated fails a run in which the emulator saw a violation of one of its invariants.
-var errInvariantViolated = errors.New("a rule was broken")
+// errInvariantViolated is returned after a run that violated an invariant.
+var errInvariantViolated = errors.New("an invariant was violated")
 
-// playCommand runs one scenario, prints its metrics and checks the invariants.
+// playCommand runs one scenario, prints its metrics and checks its invariants.
 type playCommand struct {
-	Day     string   `arg:"" help:"The day's file."`
-	Seed    uint64   `default:"1" help:"Who asks what when, and which trouble hits whom."`
-	Program []string `default:"bin/woodproxy,serve" help:"The proxy, with its words."`
-	Dir     string   `default:"found/day" help:"Where configurations and logs are kept; it must not exist or be empty."`
+	Day     string   `arg:"" help:"The scenario file."`
+	Seed    uint64   `default:"1" help:"Seed of the request schedule and of the targets of faults."`
+	Program []string `default:"bin/woodproxy,serve" help:"The command that starts the proxy, with its arguments."`
+	Dir     string   `default:"found/day" help:"Directory for configurations and logs; it must be empty or not exist."`
 }
 
-// Run returns errInvariantViolated after the violations are printed.
+// Run prints the metrics and the violations, and returns errInvariantViolated if there are any.
 func (c *playCommand) Run(ctx context.Context) error {
 	scenario, err := emulator.ReadScenario(c.Day)
 	if err != nil {
--- a/cmd/emulator/soak.go
+++ b/cmd/emulator/soak.go
@@ -14,43 +14,45 @@
 	"woodproxy/internal/soak"
 )
 
-// soakCommand plays drawn scenarios and judges them by invariants.
+// soakCommand runs drawn scenarios and checks their invariants.
 type soakCommand struct {
 	Seed       uint64   `default:"1" help:"The first seed."`
-	Seeds      int      `default:"1" help:"How many seeds, one after the other."`
-	Seconds    float64  `default:"8" help:"Length of each scenario."`
-	Proxies    int      `default:"24" help:"Proxy processes."`
-	Faults     []string `help:"Kinds of faults to draw from; all by default."`
+	Seeds      int      `default:"1" help:"Number of seeds to run, one after the other."`
+	Seconds    float64  `default:"8" help:"Length of each scenario in seconds."`
+	Proxies    int      `default:"24" help:"Number of proxy processes."`
+	Faults     []string `help:"Kinds of faults to draw; all by default."`
 	Large      bool     `default:"true" negatable:"" help:"Draw fleets of thousands of servers as well."`
-	Plant      string   `help:"A mistake to build into the proxy, to see that it is found."`
-	ListPlants bool     `help:"List the mistakes and end."`
-	Schedule   string   `help:"Play this scenario file, as a find has written it, in place of drawn ones."`
-	Module     string   `default:"." help:"Root of the program's sources, from which the proxy is built." type:"existingdir"`
-	Dir        string   `default:"found/soak" help:"Where logs are kept; it must not exist or be empty."`
+	Plant      string   `help:"A bug to build into the proxy, to test that a check finds it."`
+	ListPlants bool     `help:"List the bugs that --plant accepts and exit."`
+	Schedule   string   `help:"Run this scenario file, as written after a violation, instead of drawn scenarios."`
+	Module     string   `default:"." help:"Root directory of the module from which the proxy is built." type:"existingdir"`
+	Dir        string   `default:"found/soak" help:"Directory for logs; it must be empty or not exist."`
 	Keep       bool     `help:"Keep the logs of clean scenarios too."`
-	Shrink     bool     `default:"true" negatable:"" help:"Look for the fewest faults that show a violation."`
+	Shrink     bool     `default:"true" negatable:"" help:"Search for the fewest faults that cause a violation."`
 }
 
-// usageError is a mistake in flags or files.
+// usageError is an error in flags or files.
 type usageError struct{ err error }
 
 func (e usageError) Error() string { return e.err.Error() }
 func (e usageError) Unwrap() error { return e.err }
 
-// errMachineOverloaded ends a soak in which the machine had no time for some scenario, so that it has no verdict.
-var errMachineOverloaded = errors.New("the load ran late in some scenario: no verdict")
+// errMachineOverloaded is returned if the machine was overloaded during a scenario, which therefore has no verdict.
+var errMachineOverloaded = errors.New("the machine was overloaded in some scenario: no verdict")
 
-// errFaultIdle ends a soak in which a drawn fault did nothing, so that a clean play shows less than it says.
-var errFaultIdle = errors.New("a fault that was drawn did nothing in some scenario")
+// errFaultIdle is returned if a drawn fault had no effect in a scenario, which therefore tested less than its schedule
+// states.
+var errFaultIdle = errors.New("a drawn fault had no effect in some scenario")
 
-// Bounds of flags. A scenario of 64 proxies stays well below 300 processes.
+// Limits of flags. A scenario with 64 proxies uses far fewer than 300 processes.
 const (
 	maxSoakProxies = 64
 	minSoakSeconds = 4
 	maxSoakSeconds = 600
 )
 
-// Run returns errInvariantViolated after a violation, and else errMachineLate if some scenario has no verdict.
+// Run returns errInvariantViolated after a violation, otherwise errFaultIdle if a fault had no effect, and otherwise
+// errMachineOverloaded if a scenario has no verdict.
 func (c *soakCommand) Run(ctx context.Context) error {
 	if c.ListPlants {
 		for _, plant := range soak.Plants {
@@ -76,19 +78,19 @@
 	return c.runAll(ctx, &soak.Soak{Program: program, Dir: c.Dir, Keep: c.Keep, Out: os.Stdout}, plant)
 }
 
-// check checks the flags and returns the mistake that is to be planted, nil for none.
+// check validates the flags and returns the plant to build in, or nil if there is none.
 func (c *soakCommand) check() (*soak.Plant, error) {
 	switch {
 	case c.Seeds < 1:
-		return nil, fmt.Errorf("--seeds: %d: not one or more", c.Seeds)
+		return nil, fmt.Errorf("--seeds: %d: want 1 or more", c.Seeds)
 	case c.Proxies < 1 || c.Proxies > maxSoakProxies:
-		return nil, fmt.Errorf("--proxies: %d: not from 1 to %d", c.Proxies, maxSoakProxies)
+		return nil, fmt.Errorf("--proxies: %d: want 1 to %d", c.Proxies, maxSoakProxies)
 	case !(c.Seconds >= minSoakSeconds && c.Seconds <= maxSoakSeconds):
-		return nil, fmt.Errorf("--seconds: %v: not from %d to %d", c.Seconds, minSoakSeconds, maxSoakSeconds)
+		return nil, fmt.Errorf("--seconds: %v: want %d to %d", c.Seconds, minSoakSeconds, maxSoakSeconds)
 	}
 	for _, kind := range c.Faults {
 		if !slices.Contains(soak.Kinds(), kind) {
-			return nil, fmt.Errorf("--faults: %q: none of %s", kind, strings.Join(soak.Kinds(), ", "))
+			return nil, fmt.Errorf("--faults: %q: want one of %s", kind, strings.Join(soak.Kinds(), ", "))
 		}
 	}
 	if c.Plant == "" {
@@ -104,7 +106,8 @@
 	return plant, nil
 }
 
-// runAll plays the schedule, or each seed, and returns the worst verdict as an error.
+// runAll runs the scenario of each seed, or the scenario file of --schedule with each seed, and returns the worst verdict as
+// an error. It stops as soon as the plant is found.
 func (c *soakCommand) runAll(ctx context.Context, runner *soak.Soak, plant *soak.Plant) error {
 	counts := map[soak.Verdict]int{}
 	for i := range c.Seeds {
@@ -125,7 +128,7 @@
 		if outcome.Verdict == soak.Violated {
 			c.saveSchedule(ctx, runner, outcome)
 			if plant != nil && slices.Contains(outcome.Rules(), plant.Rule) {
-				break // it was found
+				break // the plant was found
 			}
 		}
 	}
@@ -148,7 +151,8 @@
 	return soak.Draw(seed, soak.DrawOptions{Proxies: c.Proxies, Seconds: c.Seconds, Kinds: c.Faults, Large: c.Large && c.Plant == ""}), nil
 }
 
-// saveSchedule writes the schedule of a find, cut down to the fewest faults where that is asked for, and says how to play it.
+// saveSchedule writes the scenario of a violation to a file, with --shrink reduced to the fewest faults, and prints the
+// command that runs it again.
 func (c *soakCommand) saveSchedule(ctx context.Context, runner *soak.Soak, outcome *soak.Outcome) {
 	scenario := outcome.Scenario
 	if c.Shrink && c.Plant == "" {
@@ -156,9 +160,9 @@
 	}
 	file := filepath.Join(c.Dir, fmt.Sprintf("seed%d.toml", outcome.Seed))
 	if err := soak.WriteSchedule(file, scenario); err != nil {
-		fmt.Printf("  the schedule is not written: %v\n", err)
+		fmt.Printf("  can't write the schedule: %v\n", err)
 		return
 	}
-	fmt.Printf("  %d of %d faults are left; again: emulator soak --seed %d --schedule %s\n",
+	fmt.Printf("  %d of %d faults remain; run again with: emulator soak --seed %d --schedule %s\n",
 		len(scenario.Faults), len(outcome.Scenario.Faults), outcome.Seed, file)
 }
--- a/cmd/emulator/spread.go
+++ b/cmd/emulator/spread.go
@@ -12,16 +12,16 @@
 	minFleet = 2
 	maxFleet = 100_000
 
-	// spreadTimeout is how long a change is given to reach all proxies, in simulated time.
+	// spreadTimeout is the simulated time after which a proxy that the change has not reached counts as never reached.
 	spreadTimeout = 4 * replica.Second
-	// ticksPerMillisecond converts replica.Time, which counts tenths of a millisecond.
+	// ticksPerMillisecond is the number of units of replica.Time in a millisecond.
 	ticksPerMillisecond = replica.Second / 1000
 )
 
 // spreadCommand measures how fast one change reaches all proxies of simulated fleets.
 type spreadCommand struct {
-	Sizes []int   `default:"60,300,1000,10000" help:"How many proxies."`
-	Loss  float64 `default:"0.05" help:"Part of datagrams that get lost."`
+	Sizes []int   `default:"60,300,1000,10000" help:"Numbers of proxies, one fleet for each."`
+	Loss  float64 `default:"0.05" help:"Fraction of datagrams that are lost."`
 	Seed  uint64  `default:"1"`
 }
 
@@ -49,7 +49,7 @@
 	fleet := simnet.NewFleet(config, c.Seed)
 	delays := fleet.MeasurePropagation(spreadTimeout)
 	receivers := size - 1 // all but the proxy that makes the change
-	// quantileMS is over all receivers; -1 says that the quantile is among those that were never reached.
+	// quantileMS returns a quantile over all receivers, or -1 if the change never reached that receiver.
 	quantileMS := func(quantile float64) replica.Time {
 		if index := int(quantile * float64(receivers)); index < len(delays) {
 			return delays[index] / ticksPerMillisecond
--- a/cmd/emulator/table.go
+++ b/cmd/emulator/table.go
@@ -9,12 +9,12 @@
 
 // compareCommand compares the variants of a table on one metric.
 type compareCommand struct {
-	Table  string `arg:"" help:"A table that an experiment wrote."`
+	Table  string `arg:"" help:"A table written by an experiment."`
 	Figure string `default:"p99_ms" help:"The column to compare."`
-	Base   string `help:"The variant that others are compared with; the first one where it is not given."`
+	Base   string `help:"The variant to compare the others with; by default the first."`
 }
 
-// Run prints one line for each variant but the base.
+// Run prints one line for each variant except the base.
 func (c *compareCommand) Run(context.Context) error {
 	table, err := experiment.ReadTable(c.Table)
 	if err != nil {
@@ -32,12 +32,12 @@
 
 // chartCommand draws one metric of a table.
 type chartCommand struct {
-	Table  string `arg:"" help:"A table that an experiment wrote."`
+	Table  string `arg:"" help:"A table written by an experiment."`
 	Figure string `default:"p99_ms" help:"The column to draw."`
-	Out    string `required:"" help:"The picture to write, .svg or .png."`
+	Out    string `required:"" help:"The image file to write, .svg or .png."`
 }
 
-// Run writes the picture.
+// Run writes the image file.
 func (c *chartCommand) Run(context.Context) error {
 	table, err := experiment.ReadTable(c.Table)
 	if err != nil {
