--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -14,14 +14,14 @@
 	chartHeight = 10 * vg.Centimeter
 	pointRadius = 2
 
-	// scenarioOffset sets the scenarios of a variant apart, as a part of the distance between variants.
+	// scenarioOffset is the distance between the scenarios of a variant, as a fraction of the distance between variants.
 	scenarioOffset = 0.06
-	// legendRoom is added above the points, as a part of their range.
+	// legendRoom is the space for the legend above the points, as a fraction of their range.
 	legendRoom = 1.0 / 8
 )
 
-// Chart draws a metric: the variants from left to right, and for each scenario its runs as points and their means as a
-// line. The extension of the file name selects the format, .svg or .png among others.
+// Chart draws a metric to a file: the variants from left to right, and for each scenario its runs as points and their
+// means as a line. The extension of the file name selects the format, for example .svg or .png.
 func (t *Table) Chart(metric, file string) error {
 	if err := checkMetric(metric); err != nil {
 		return err
--- a/internal/experiment/commit.go
+++ b/internal/experiment/commit.go
@@ -8,8 +8,8 @@
 
 const commitProperty = "commit="
 
-// buildCommit returns "commit=" and the commit that this program was built from, with a "+" behind it if the tree was
-// modified. Where the build has no stamp, it is the commit of the working directory, and "unknown" without one.
+// buildCommit returns "commit=" and the commit that this program was built from, followed by "+" if the tree was
+// modified. If the build has no stamp, it uses the commit of the working directory, or "unknown" if there is none.
 func buildCommit() string {
 	if commit := stampedCommit(); commit != "" {
 		return commitProperty + commit
@@ -21,7 +21,7 @@
 	return commitProperty + strings.TrimSpace(string(out))
 }
 
-// stampedCommit returns the commit that the go command has stamped into the program, "" if there is none.
+// stampedCommit returns the commit that the go command stamped into the program, or "" if there is none.
 func stampedCommit() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// minPairs is how many pairs it takes for a sign test at 95% confidence, if all differ in the same direction.
+	// minPairs is the minimum number of pairs for 95% confidence in a sign test in which all differ in the same direction.
 	minPairs = 6
 
 	bootstrapResamples = 4000
-	confidenceLow      = 0.025 // quantiles that enclose 95%
+	confidenceLow      = 0.025 // lower and upper quantile of the 95% interval
 	confidenceHigh     = 0.975
 )
 
-// Difference is the mean difference of a metric between a variant and the base, over the runs that both have made.
+// Difference is the mean difference of a metric between a variant and the base, over the runs that both have.
 type Difference struct {
 	Variant, Base string
-	Pairs         int     // runs of the same scenario, seed and round
-	Mean          float64 // variant less base
+	Pairs         int     // number of pairs of runs with the same scenario, seed and round
+	Mean          float64 // variant minus base
 	Low, High     float64 // 95% confidence interval of the mean
-	BaseMean      float64
+	BaseMean      float64 // mean of the base
 }
 
 // Significant reports whether the confidence interval excludes zero.
 func (d Difference) Significant() bool { return d.Low > 0 || d.High < 0 }
 
-// String words the difference as one line of the command line's output.
+// String returns the difference as one line for the output of a command.
 func (d Difference) String() string {
 	if d.Pairs < minPairs {
-		return fmt.Sprintf("%s against %s: %d pairs, too few to say", d.Variant, d.Base, d.Pairs)
+		return fmt.Sprintf("%s against %s: %d pairs, too few to compare", d.Variant, d.Base, d.Pairs)
 	}
 	verdict := "no difference seen"
 	if d.Significant() {
@@ -51,8 +51,8 @@
 
 func (r Row) pairKey() pairKey { return pairKey{r.Scenario, r.Seed, r.Round} }
 
-// Compare compares each variant with the base on one metric; an empty base is the first variant. It fails if the table
-// has no such metric or base. The confidence interval is a bootstrap with a fixed seed, so that the same table always
+// Compare compares each variant with the base on one metric. If base is empty, it is the first variant. Compare fails if
+// the table has no such metric or base. The confidence interval is a bootstrap with a fixed seed, so that the same table always
 // gives the same result.
 func (t *Table) Compare(metric, base string) ([]Difference, error) {
 	if err := checkMetric(metric); err != nil {
@@ -82,7 +82,7 @@
 	return differences, nil
 }
 
-// difference pairs the rows of a variant with the base, in the order of the rows: the bootstrap depends on it.
+// difference pairs the rows of a variant with the base. It keeps the order of the rows, on which the bootstrap depends.
 func (t *Table) difference(metric, variant string, baseValues map[pairKey]float64) Difference {
 	var changes, bases []float64
 	for _, row := range t.Rows {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -12,29 +12,29 @@
 	"woodproxy/internal/emulator"
 )
 
-// maxRounds bounds the number of rounds that a file may state.
+// maxRounds is the maximum number of rounds that a file may state.
 const maxRounds = 1000
 
-// Experiment is the content of an experiment file: each variant runs each scenario under each seed, once a round.
+// Experiment is the content of an experiment file. In each round, each variant runs each scenario once with each seed.
 type Experiment struct {
 	Name          string    `toml:"experiment"` // this key marks the file as an experiment
 	ScenarioFiles []string  `toml:"days"`       // relative to the directory of the experiment file
 	Seeds         []uint64  `toml:"seeds"`
-	Rounds        int       `toml:"rounds"` // 1 to 1000, 1 where the file states none
+	Rounds        int       `toml:"rounds"` // 1 to 1000, by default 1
 	Variants      []Variant `toml:"variant"`
 
 	scenarios []*emulator.Scenario // one for each file
 }
 
-// IsExperiment reports whether a file looks like an experiment, as opposed to a scenario. It is false for a file that
+// IsExperiment reports whether a file looks like an experiment rather than a scenario. It returns false for a file that
 // cannot be read.
 func IsExperiment(file string) bool {
 	text, err := os.ReadFile(file)
 	return err == nil && (bytes.HasPrefix(text, []byte("experiment")) || bytes.Contains(text, []byte("\nexperiment")))
 }
 
-// Read reads and checks an experiment file and the scenarios that it names. An error is one line with the name of the
-// file and the line or key at fault.
+// Read reads and checks an experiment file and the scenarios that it names. An error is one line that names the file and
+// the invalid line or key.
 func Read(file string) (*Experiment, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return e, nil
 }
 
-// check returns the first error in what the experiment file itself states.
+// check returns the first error in the experiment file itself, without its scenarios.
 func (e *Experiment) check() error {
 	switch {
 	case e.Name == "":
@@ -84,19 +84,19 @@
 	return nil
 }
 
-// checkVariantNames also rejects the separators of tables and of directory names.
+// checkVariantNames rejects empty and duplicate names, and names with a separator of tables or of paths.
 func checkVariantNames(variants []Variant) error {
 	seen := map[string]bool{}
 	for i, v := range variants {
 		if v.Name == "" || seen[v.Name] || strings.ContainsAny(v.Name, "|\t\n/") {
-			return fmt.Errorf("variant[%d].name: missing, doubled or with a sign that tables and folders need", i)
+			return fmt.Errorf("variant[%d].name: missing, doubled or with a separator of tables or paths", i)
 		}
 		seen[v.Name] = true
 	}
 	return nil
 }
 
-// readScenarios reads the scenarios and checks each as each variant would run it.
+// readScenarios reads the scenarios, and checks each with the changes of each variant.
 func (e *Experiment) readScenarios(dir string) error {
 	for _, file := range e.ScenarioFiles {
 		scenario, err := emulator.ReadScenario(filepath.Join(dir, file))
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,7 +11,8 @@
 	"woodproxy/internal/emulator"
 )
 
-// sampleTable has three variants on twelve seeds: base, one with the same mean, and one that is higher by two.
+// sampleTable returns a table of three variants with twelve seeds: base, one with the same mean, and one that is higher by
+// two.
 func sampleTable() *Table {
 	t := &Table{Properties: []string{"experiment=x", "cores=8"}}
 	for seed := range uint64(12) {
@@ -27,7 +28,7 @@
 	return t
 }
 
-// A difference is reported with its size where there is one, and only there; invalid rows are left out.
+// A difference between variants is reported only if it is significant, and invalid rows are ignored.
 func TestCompare(t *testing.T) {
 	table := sampleTable()
 	invalid := table.Rows[1]
@@ -35,39 +36,40 @@
 	table.Rows = append(table.Rows, invalid)
 	got, err := table.Compare("p99_ms", "")
 	if err != nil || len(got) != 2 {
-		t.Fatal(got, err)
+		t.Fatalf("got differences %v, error %v, want 2 differences", got, err)
 	}
 	if d := got[0]; d.Variant != "same" || d.Significant() || d.Pairs != 12 ||
 		!strings.Contains(d.String(), "no difference seen") {
-		t.Error(d)
+		t.Errorf("got %v, want no difference for variant same over 12 pairs", d)
 	}
 	if d := got[1]; d.Variant != "more" || !d.Significant() || d.Low < 1.9 || d.High > 2.2 ||
 		!strings.Contains(d.String(), "differs") {
-		t.Error(d)
+		t.Errorf("got %v, want a difference of about 2 for variant more", d)
 	}
 	if again, _ := table.Compare("p99_ms", ""); !reflect.DeepEqual(got, again) {
-		t.Error("the same table says something else")
+		t.Error("two comparisons of the same table differ")
 	}
 	table.Properties = append(table.Properties, "variants=more|base|same")
 	if got := table.Variants(); !reflect.DeepEqual(got, []string{"more", "base", "same"}) {
-		t.Errorf("variants %v, not in the experiment's order", got)
+		t.Errorf("got variants %v, want the order of the experiment", got)
 	}
 	if back, _ := table.Compare("p99_ms", ""); back[0].Variant != "base" || back[0].High > -1.9 {
-		t.Error(back)
+		t.Errorf("got %v, want a difference of about -2 for variant base", back)
 	}
 	table.Properties = table.Properties[:2]
 	table.Rows = table.Rows[:15]
 	if few, _ := table.Compare("p99_ms", ""); !strings.Contains(few[0].String(), "too few") {
-		t.Error(few)
+		t.Errorf("got %v, want too few pairs", few)
 	}
-	for _, bad := range []struct{ metric, base string }{{"p98_ms", ""}, {"p99_ms", "nobody"}} {
+	for _, bad := range []struct{ metric, base string }{{"p98_ms", ""}, {"p99_ms", "unknown"}} {
 		if _, err := table.Compare(bad.metric, bad.base); err == nil {
-			t.Errorf("%+v: no error", bad)
+			t.Errorf("%+v: got no error", bad)
 		}
 	}
 }
 
-// A table is read as it was written; one of another version or with errors is rejected, with the name of its file.
+// A table is read back as it was written. One of another version or with errors is rejected with an error that names the
+// file.
 func TestTable(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "t.tsv")
 	written := sampleTable()
@@ -76,16 +78,16 @@
 	}
 	read, err := ReadTable(file)
 	if err != nil || !reflect.DeepEqual(written, read) {
-		t.Errorf("%v: read otherwise than written", err)
+		t.Errorf("error %v, or the table that is read back differs from the one written", err)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, test := range []struct{ name, from, to, want string }{
-		{"older version", "woodlab-table-1", "woodlab-table-0", "of version woodlab-table-0, and not"},
-		{"no table", "woodlab-table-1", "mine", "no table of woodlab's"},
-		{"unknown column", "p99_ms", "p98_ms", "line 2: other columns"},
+		{"older version", "woodlab-table-1", "woodlab-table-0", "got version woodlab-table-0, want"},
+		{"no table", "woodlab-table-1", "mine", "not a table of an experiment"},
+		{"unknown column", "p99_ms", "p98_ms", "line 2: unknown columns"},
 		{"bad flag", "\ttrue\t", "\tperhaps\t", "line 3"},
 		{"bad seed", "d\tbase\t0", "d\tbase\tx", "line 3"},
 	} {
@@ -94,13 +96,13 @@
 			writeFile(t, file, strings.Replace(string(text), test.from, test.to, 1))
 			_, err := ReadTable(file)
 			if err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), file) {
-				t.Errorf("%v, want %q", err, test.want)
+				t.Errorf("got error %v, want %q and the file", err, test.want)
 			}
 		})
 	}
 }
 
-// A chart is drawn for a metric in each format; a metric that there is not is an error.
+// A chart is drawn in each format, and an unknown metric is an error.
 func TestChart(t *testing.T) {
 	for _, name := range []string{"c.svg", "c.png"} {
 		if err := sampleTable().Chart("p99_ms", filepath.Join(t.TempDir(), name)); err != nil {
@@ -108,7 +110,7 @@
 		}
 	}
 	if err := sampleTable().Chart("p98_ms", "c.svg"); err == nil {
-		t.Error("a chart of an unknown metric")
+		t.Error("got no error for a chart of an unknown metric")
 	}
 }
 
@@ -141,7 +143,7 @@
 	}
 }
 
-// writeExperiment writes an experiment beside the scenario that it names, and returns the name of its file.
+// writeExperiment writes an experiment file and the scenario file that it names, and returns the path of the experiment.
 func writeExperiment(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -151,7 +153,7 @@
 	return file
 }
 
-// Each variant runs each scenario under each seed in each round, in a fixed order that is not that of the file.
+// Each round contains each variant, scenario and seed once, in a fixed order that is not that of the file.
 func TestSchedule(t *testing.T) {
 	e, err := Read(writeExperiment(t, experimentFile))
 	if err != nil {
@@ -164,24 +166,24 @@
 		times[run]++
 		sorted = sorted && (i == 0 || run.Variant >= schedule[i-1].Variant)
 		if run.Round != i/6 {
-			t.Error("rounds are mixed")
+			t.Errorf("run %d: got round %d, want %d", i, run.Round, i/6)
 		}
 	}
 	if len(schedule) != 12 || len(times) != 12 || sorted || !reflect.DeepEqual(schedule, e.Schedule()) {
-		t.Errorf("%v", schedule)
+		t.Errorf("got schedule %v, want 12 different runs, shuffled and reproducible", schedule)
 	}
 }
 
-// A table names the commit that produced it, in one word.
+// The commit property of a table is one word.
 func TestBuildCommit(t *testing.T) {
 	property := buildCommit()
 	name, commit, ok := strings.Cut(property, "=")
 	if !ok || name != "commit" || commit == "" || strings.ContainsAny(property, " \t\n") {
-		t.Errorf("%q", property)
+		t.Errorf("got %q, want commit= and one word", property)
 	}
 }
 
-// The error of a bad experiment is one line that names the line or key at fault.
+// The error for an invalid experiment is one line that names the invalid line or key.
 func TestReadRejectsBadExperiments(t *testing.T) {
 	for _, test := range []struct{ name, from, to, want string }{
 		{"no name", `experiment = "x"`, `experiment = ""`, "experiment: missing"},
@@ -197,14 +199,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Read(writeExperiment(t, strings.Replace(experimentFile, test.from, test.to, 1)))
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want %q", err, test.want)
+				t.Errorf("got error %v, want %q in one line", err, test.want)
 			}
 		})
 	}
 }
 
-// Outcomes are fractions of the requests that clients waited for, value counts only within the objective, and latency is
-// from the scheduled time.
+// Outcomes are fractions of the requests that clients waited for, value is earned only within the objective, and latency
+// is measured from the scheduled time.
 func TestSummarize(t *testing.T) {
 	scenario, err := emulator.ParseScenario([]byte(scenarioFile))
 	if err != nil {
@@ -226,6 +228,6 @@
 	if outcomes.Completed != 0.5 || outcomes.InTime != 0.25 || outcomes.Shed != 0.25 || outcomes.Lost != 0.25 ||
 		s.ValueEarned != 0.25 || s.AttemptsPerRequest != 0.4 ||
 		latency.P50 < 49 || latency.P50 > 51 || latency.Max < 149 || latency.Max > 151 {
-		t.Errorf("%+v", s)
+		t.Errorf("got summary %+v", s)
 	}
 }
--- a/internal/experiment/metrics.go
+++ b/internal/experiment/metrics.go
@@ -2,12 +2,12 @@
 
 // column is one metric column of a table.
 type column struct {
-	name  string // as it stands in stored tables
+	name  string // name in stored tables
 	value func(s Summary) float64
 }
 
-// metricColumns are the metric columns of a table, in the order of stored tables. New ones are added at the end: a table
-// of an older version has fewer of them.
+// metricColumns are the metric columns of a table, in the order of stored tables. New columns are added at the end, so that
+// older tables, which have fewer of them, can still be read.
 var metricColumns = []column{
 	{"requests", func(s Summary) float64 { return float64(s.Requests) }},
 	{"completed", func(s Summary) float64 { return s.Outcomes.Completed }},
@@ -52,7 +52,7 @@
 	{"full_s", func(s Summary) float64 { return s.FullServiceSeconds }},
 }
 
-// minMetricColumns is the number of metric columns of the first tables.
+// minMetricColumns is the number of metric columns in the oldest tables.
 const minMetricColumns = 17
 
 // metricNames returns the names of the metric columns in their order.
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -11,7 +11,7 @@
 	"woodproxy/internal/emulator"
 )
 
-// maxAttempts is how often a run is started while the load generator falls behind its schedule.
+// maxAttempts is the maximum number of attempts at a run in which the load generator falls behind its schedule.
 const maxAttempts = 2
 
 // Run is one run of a scenario by a variant.
@@ -21,8 +21,8 @@
 	Round             int // from 0
 }
 
-// Schedule returns all runs in the order in which they are made: round by round, shuffled within each, so that a drift
-// of the machine's speed affects all variants alike. The order is the same each time.
+// Schedule returns all runs in the order in which they are made: round by round, and shuffled within each round, so that a
+// drift of the machine's speed affects all variants alike. The order is the same at each call.
 func (e *Experiment) Schedule() []Run {
 	var schedule []Run
 	random := rand.New(rand.NewPCG(1, uint64(len(e.Variants))))
@@ -42,8 +42,8 @@
 }
 
 // Run makes all runs one after the other and returns their table. Each attempt writes its files to a directory of its
-// own in dir. After each run, progress is called with one line about it. The first run that fails, or the end of the
-// context, ends the experiment with an error.
+// own in dir. After each run, Run calls progress with one line about it. It returns an error at the first run that fails
+// or when the context ends.
 func (e *Experiment) Run(ctx context.Context, dir string, progress func(line string)) (*Table, error) {
 	table := &Table{Properties: e.properties()}
 	schedule := e.Schedule()
@@ -62,15 +62,15 @@
 			Metrics:  summary.metrics(),
 		}
 		table.Rows = append(table.Rows, row)
-		progress(fmt.Sprintf("%d of %d: %s, %s, seed %d: worth %.4f, p99 %.1f ms, %d breaches, counts %v",
+		progress(fmt.Sprintf("%d of %d: %s, %s, seed %d: value %.4f, p99 %.1f ms, %d violations, valid %v",
 			i+1, len(schedule), row.Scenario, row.Variant, row.Seed, summary.ValueEarned, summary.LatencyMS.P99,
 			summary.Violations, row.Valid))
 	}
 	return table, nil
 }
 
-// attempt makes one run, and makes it once more if the load generator fell behind its schedule: then the report says
-// more about the machine than about the proxy.
+// attempt makes one run, and repeats it once if the load generator fell behind its schedule, since the report then
+// measures the machine instead of the proxy.
 func (e *Experiment) attempt(ctx context.Context, run Run, dirPrefix string) (*emulator.Report, error) {
 	variant := e.Variants[run.Variant]
 	program := variant.Program
@@ -96,7 +96,7 @@
 	return report, nil
 }
 
-// properties say under which conditions the table was made.
+// properties returns the conditions under which the table is made.
 func (e *Experiment) properties() []string {
 	var names []string
 	for _, v := range e.Variants {
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -8,33 +8,33 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of the latency histogram; a latency beyond the range is left out of it.
+// Range and precision of the latency histogram. A latency above the range is not recorded.
 const (
 	minLatencyMicros         = 1
 	maxLatencyMicros         = 120_000_000
 	latencySignificantDigits = 3
 )
 
-// Summary is the metrics of one run. What does not apply to a scenario is 0.
+// Summary contains the metrics of one run. A metric that does not apply to the scenario is 0.
 type Summary struct {
 	Requests             int
 	Outcomes             OutcomeFractions
-	ValueEarned          float64 // by requests answered within their objective, as a fraction of the value of all
+	ValueEarned          float64 // by requests completed within their objective, as a fraction of the total value
 	LatencyMS            LatencyQuantiles
-	AttemptsPerRequest   float64 // commands that cache nodes received, for each request
+	AttemptsPerRequest   float64 // commands that cache nodes received per request
 	CPUMicrosPerRequest  float64 // CPU time of all proxies together
-	LoadDelayMS          float64 // the most by which the load generator sent a request late
-	Violations           int     // of the emulator's invariants
-	UnansweredBadClients int     // clients that broke the protocol and were sent neither an error nor a close
+	LoadDelayMS          float64 // greatest lateness of the load generator
+	Violations           int     // violations of the emulator's invariants
+	UnansweredBadClients int     // clients that violated the protocol and received neither an error nor a close
 	Gossip               GossipSummary
 	Zones                ZoneSummary
-	SlowStartPeak        float64                 // the most load of a node in slow start, as a fraction of what overloads it
+	SlowStartPeak        float64                 // greatest load of a node in slow start, as a fraction of what overloads it
 	Fleet                emulator.BackgroundLoad // load of the proxy fleet on nodes and discovery
-	FullServiceSeconds   float64                 // from the last kill until service was back to 95% of that before; the maximum
-	NegativeCache        NegativeCacheStats      // lookups of keys that the origin lacks
+	FullServiceSeconds   float64                 // maximum time from a kill until service was back to 95% of that before
+	NegativeCache        NegativeCacheStats      // lookups of absent keys
 }
 
-// OutcomeFractions are fractions of the requests whose clients waited for the answer.
+// OutcomeFractions are fractions of the requests whose clients waited for the reply.
 type OutcomeFractions struct {
 	Completed float64
 	InTime    float64 // completed within the objective of the route
@@ -44,38 +44,38 @@
 	Refused   float64
 }
 
-// LatencyQuantiles are of completed requests, from the time at which each was scheduled, in milliseconds.
+// LatencyQuantiles are quantiles of the latency of completed requests, measured from the scheduled time, in milliseconds.
 type LatencyQuantiles struct {
 	P50, P90, P99, Max float64
 }
 
-// GossipSummary is about the exchange of state between proxies.
+// GossipSummary contains the metrics of gossip between proxies.
 type GossipSummary struct {
-	PropagationP50MS float64 // from an endpoint event at one proxy until another proxy had it
+	PropagationP50MS float64 // from an endpoint event at one proxy until another proxy has received it
 	PropagationP99MS float64
-	NeverReached     int     // proxies that never had such an event
-	CatchUpP50MS     float64 // from the start or resumption of a proxy until it had caught up
+	NeverReached     int     // number of times that a proxy never received an event
+	CatchUpP50MS     float64 // from the start or resumption of a proxy until it has caught up
 	CatchUpMaxMS     float64
-	BytesPerSecond   float64 // of each proxy, received and sent
-	PacketsPerSecond float64 // of each proxy, received
+	BytesPerSecond   float64 // per proxy, received and sent
+	PacketsPerSecond float64 // per proxy, received
 }
 
-// ZoneSummary is about the zones in which a fault was injected.
+// ZoneSummary contains the metrics of the zones in which a fault was injected.
 type ZoneSummary struct {
-	FirstEvacuationMS float64 // from the fault until the first proxy had evacuated the zone; the maximum over zones
-	LastEvacuationMS  float64 // until the last had
-	RecoveryMS        float64 // from the end of the fault until all proxies served all keys there; the maximum over zones
-	ValueDuringFault  float64 // fraction of the value earned in its first five seconds; the mean over zones
-	ValueAfterFault   float64 // and in the ten seconds after its end
+	FirstEvacuationMS float64 // from the fault until the first proxy has evacuated the zone; maximum over zones
+	LastEvacuationMS  float64 // from the fault until the last proxy has evacuated the zone; maximum over zones
+	RecoveryMS        float64 // from the end of the fault until all proxies serve all keys there; maximum over zones
+	ValueDuringFault  float64 // fraction of the value earned in the first five seconds of the fault; mean over zones
+	ValueAfterFault   float64 // fraction of the value earned in the ten seconds after its end; mean over zones
 	NeverEvacuated    int     // proxies that never evacuated a faulty zone
 	FalseVerdicts     int     // verdicts against zones without a fault
 }
 
-// NegativeCacheStats are about keys that the origin lacks.
+// NegativeCacheStats contains the metrics of absent keys, which the origin does not have.
 type NegativeCacheStats struct {
-	OriginMissesPerSecond float64 // lookups that reached the origin
-	ClientMissesPerSecond float64 // answers to clients that there is no such key
-	StaleMS               float64 // the longest time for which a key was reported missing after it had been written
+	OriginMissesPerSecond float64 // lookups of absent keys that reached the origin
+	ClientMissesPerSecond float64 // replies to clients that the key is absent
+	StaleMS               float64 // longest time for which a key was reported absent after it had been written
 }
 
 // Summarize computes the metrics of a run from its report.
@@ -110,8 +110,8 @@
 	return summary
 }
 
-// addResults adds what the clients saw: outcomes, earned value and latency. A request whose client left counts for
-// none of these.
+// addResults adds the outcomes, the earned value and the latency that clients observed. A request that its client
+// abandoned counts for none of them.
 func (s *Summary) addResults(report *emulator.Report) {
 	histogram := hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificantDigits)
 	waited, earned, total := 0.0, 0.0, 0.0
@@ -126,7 +126,7 @@
 		switch result.Outcome {
 		case emulator.Completed:
 			outcomes.Completed++
-			// The only error is a value beyond the histogram's range, which no overall timeout reaches.
+			// RecordValue fails only for a value above the histogram's range, which no overall timeout reaches.
 			_ = histogram.RecordValue(max(result.Latency.Microseconds(), minLatencyMicros))
 			if result.Latency.Seconds()*1000 <= route.ObjectiveMS {
 				outcomes.InTime++
@@ -171,7 +171,7 @@
 	}
 }
 
-// quantileMS returns a quantile, from 0 to 1, of sorted durations in milliseconds; 0 if there are none.
+// quantileMS returns a quantile, given as 0 to 1, of sorted durations in milliseconds. It returns 0 if there are none.
 func quantileMS(sorted []time.Duration, quantile float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// tableVersion is raised with each change of what a column means, so that an older table is rejected and not misread.
+	// tableVersion is incremented when the meaning of a column changes, so that older tables are rejected instead of misread.
 	tableVersion       = "woodlab-table-1"
 	tableVersionPrefix = "woodlab-table-"
 
@@ -20,13 +20,13 @@
 	variantSeparator = "|"
 )
 
-// runColumns name the run of a row; they stand before the metric columns.
+// runColumns are the columns that identify the run of a row. They precede the metric columns.
 var runColumns = []string{"day", "variant", "seed", "round", "counts"}
 
-// Table is the result of an experiment. In its file, tab-separated, the first line has the version and the properties,
-// the second the columns, and each further line a row.
+// Table is the result of an experiment. Its file is tab-separated: the first line has the version and the properties, the
+// second the names of the columns, and each further line a row.
 type Table struct {
-	Properties []string // what produced the table: commit, cores, variants and the like, each as name=value
+	Properties []string // conditions such as commit, cores and variants, each as name=value
 	Rows       []Row
 }
 
@@ -35,11 +35,11 @@
 	Scenario, Variant string
 	Seed              uint64
 	Round             int
-	Valid             bool               // the load generator kept its schedule; other rows are left out of comparisons
+	Valid             bool               // the load generator kept its schedule; comparisons ignore other rows
 	Metrics           map[string]float64 // by column name
 }
 
-// Write writes the table to a file, over what is there.
+// Write writes the table to a file, which it overwrites if it exists.
 func (t *Table) Write(file string) (err error) {
 	f, err := os.Create(file)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return writer.WriteAll(lines)
 }
 
-// fields returns the row as it stands in the file.
+// fields returns the fields of the row in the file.
 func (r Row) fields() []string {
 	fields := []string{
 		r.Scenario,
@@ -77,14 +77,14 @@
 	return fields
 }
 
-// ReadTable reads a table that was written by this version. An error is one line with the name of the file and the line
-// at fault. Metrics that were added since the table was written are missing from its rows.
+// ReadTable reads a table file of the current version. An error is one line that names the file and the invalid line.
+// Metrics that were added after the table was written are missing from its rows.
 func ReadTable(file string) (*Table, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, fmt.Errorf("table: %w", err)
 	}
-	defer func() { _ = f.Close() }() // only read from: nothing can be lost
+	defer func() { _ = f.Close() }() // opened for reading, so that no data can be lost
 	table, err := decodeTable(f)
 	if err != nil {
 		return nil, fmt.Errorf("table: %s: %w", file, err)
@@ -118,19 +118,19 @@
 	return table, nil
 }
 
-// checkTableHeader checks the version in the first line, and that the second has this version's columns, of which the
-// last ones may be missing.
+// checkTableHeader checks the version in the first line and the columns in the second. Metric columns that were added after
+// the oldest tables may be missing at the end.
 func checkTableHeader(lines [][]string) error {
 	if len(lines) < 2 || !strings.HasPrefix(lines[0][0], tableVersionPrefix) {
-		return errors.New("no table of woodlab's")
+		return errors.New("not a table of an experiment")
 	}
 	if version := lines[0][0]; version != tableVersion {
-		return fmt.Errorf("of version %s, and not %s", version, tableVersion)
+		return fmt.Errorf("got version %s, want %s", version, tableVersion)
 	}
 	columns, known := lines[1], append(slices.Clone(runColumns), metricNames()...)
 	if len(columns) < len(runColumns)+minMetricColumns || len(columns) > len(known) ||
 		!slices.Equal(columns, known[:len(columns)]) {
-		return errors.New("line 2: other columns")
+		return errors.New("line 2: unknown columns")
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 	return row, nil
 }
 
-// Variants returns the names of the variants in the experiment's order, which is not that of the rows.
+// Variants returns the names of the variants in the order of the experiment, which differs from that of the rows.
 func (t *Table) Variants() []string {
 	var names []string
 	for _, property := range t.Properties {
@@ -171,7 +171,7 @@
 	return names
 }
 
-// scenarios returns the names of the scenarios in the order of the rows.
+// scenarios returns the names of the scenarios in the order of their first rows.
 func (t *Table) scenarios() []string {
 	var names []string
 	for _, row := range t.Rows {
@@ -182,7 +182,7 @@
 	return names
 }
 
-// checkMetric fails if a table has no such metric column.
+// checkMetric returns an error if tables have no metric column of that name.
 func checkMetric(metric string) error {
 	if !slices.Contains(metricNames(), metric) {
 		return fmt.Errorf("table: no column %q", metric)
--- a/internal/experiment/variant.go
+++ b/internal/experiment/variant.go
@@ -6,21 +6,21 @@
 	"woodproxy/internal/emulator"
 )
 
-// Variant is a proxy program with settings of its own and changes to the scenario that it runs. Each field that is left
-// at its zero value keeps what the scenario states.
+// Variant is a proxy program with its own settings and changes to the scenario that it runs. A field with its zero value
+// leaves the scenario unchanged.
 type Variant struct {
 	Name          string         `toml:"name"`
 	Program       []string       `toml:"program"`     // the program and its arguments
-	Settings      map[string]any `toml:"settings"`    // overrides of settings, by path with dots between its elements
+	Settings      map[string]any `toml:"settings"`    // overrides of settings, by dotted path
 	RequestRate   float64        `toml:"rate"`        // requests a second
 	Proxies       int            `toml:"proxies"`     // size of the proxy fleet
-	ZipfExponent  float64        `toml:"zipf"`        // of the popularity of keys
+	ZipfExponent  float64        `toml:"zipf"`        // exponent of the popularity of keys
 	CoresPerProxy float64        `toml:"cores"`       // CPU limit of each proxy
-	Connections   int            `toml:"connections"` // that clients hold open to each proxy
-	Gossip        *bool          `toml:"talk"`        // whether proxies exchange state
-	ZoneHealth    *string        `toml:"judged"`      // how proxies decide on the health of zones
-	Snapshots     *bool          `toml:"state"`       // whether proxies keep a state file
-	NegativeCache *bool          `toml:"missing"`     // whether proxies remember keys that the origin lacks
+	Connections   int            `toml:"connections"` // connections that clients hold open to each proxy
+	Gossip        *bool          `toml:"talk"`        // whether proxies exchange state by gossip
+	ZoneHealth    *string        `toml:"judged"`      // how proxies judge the health of zones
+	Snapshots     *bool          `toml:"state"`       // whether proxies write a state file
+	NegativeCache *bool          `toml:"missing"`     // whether proxies cache that a key is absent
 	Duties        *bool          `toml:"turns"`       // whether proxies divide duties among themselves
 }
 
@@ -38,7 +38,7 @@
 	overrideIfSet(&changed.Duties.On, v.Duties)
 	overrideIfSet(&changed.Gossip.On, v.Gossip)
 	if v.Gossip != nil && !*v.Gossip {
-		// A fault of the links between proxies has nothing to act on without gossip.
+		// Faults of the links between proxies have no effect without gossip.
 		changed.Faults = slices.DeleteFunc(slices.Clone(changed.Faults), emulator.Fault.NeedsGossip)
 	}
 	return &changed
