--- a/deploy/balancer_test.go
+++ b/deploy/balancer_test.go
@@ -19,7 +19,7 @@
 	simulatorProgram = "bin/simhost"
 )
 
-// balancer is what deploy/balancer.toml says of building and starting the programs.
+// balancer is the content of deploy/balancer.toml, which states how the programs are built and started.
 type balancer struct {
 	Build    *string   `toml:"build"`
 	Run      *string   `toml:"run"`
@@ -29,7 +29,7 @@
 	Packages *[]string `toml:"packages"`
 }
 
-// readBalancer fails on a key that is missing, unknown or of another type.
+// readBalancer reads deploy/balancer.toml. It fails the test if a key is missing, unknown or of another type.
 func readBalancer(t *testing.T) balancer {
 	t.Helper()
 	text, err := os.ReadFile("balancer.toml")
@@ -51,12 +51,12 @@
 	return b
 }
 
-// startedProgram is the program that a command line starts, behind exec where that stands.
+// startedProgram returns the program that a command line starts, after an optional exec.
 func startedProgram(t *testing.T, commandLine string) string {
 	t.Helper()
 	words := strings.Fields(strings.TrimPrefix(commandLine, "exec "))
 	if len(words) == 0 {
-		t.Fatalf("%q starts nothing", commandLine)
+		t.Fatalf("%q starts no program", commandLine)
 	}
 	return words[0]
 }
@@ -64,21 +64,22 @@
 func TestBalancerStartsThePrograms(t *testing.T) {
 	b := readBalancer(t)
 	if got := startedProgram(t, *b.Run); got != proxyProgram {
-		t.Errorf("run starts %s, not %s", got, proxyProgram)
+		t.Errorf("run starts %s, want %s", got, proxyProgram)
 	}
 	if got := startedProgram(t, *b.Sim); got != simulatorProgram {
-		t.Errorf("sim starts %s, not %s", got, simulatorProgram)
+		t.Errorf("sim starts %s, want %s", got, simulatorProgram)
 	}
 	if !strings.Contains(*b.Build, "go build") || !strings.Contains(*b.Build, "-o bin/") || !strings.Contains(*b.Build, "./cmd/...") {
-		t.Errorf("build does not build cmd/ into bin/: %q", *b.Build)
+		t.Errorf("build is %q, want a build of cmd/ into bin/", *b.Build)
 	}
 }
 
-// The policy files exist, are small, so that each has one job and a name for it, and have no line longer than stated.
+// The policy files exist and have at most maxFileLines lines, so that each has a single purpose that its name states, and at
+// most maxLineLength characters in a line.
 func TestBalancerPolicyFiles(t *testing.T) {
 	b := readBalancer(t)
 	if len(*b.Policy) == 0 {
-		t.Error("policy: no file")
+		t.Error("policy: got no file, want at least one")
 	}
 	for _, name := range *b.Policy {
 		text, err := os.ReadFile(filepath.Join(repositoryRoot, name))
@@ -87,11 +88,11 @@
 			continue
 		}
 		if lines := bytes.Count(text, []byte("\n")); lines > maxFileLines {
-			t.Errorf("%s: %d lines, over %d", name, lines, maxFileLines)
+			t.Errorf("%s: got %d lines, want at most %d", name, lines, maxFileLines)
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if n := utf8.RuneCountInString(line); n > maxLineLength {
-				t.Errorf("%s:%d: %d characters, over %d", name, i+1, n, maxLineLength)
+				t.Errorf("%s:%d: got %d characters, want at most %d", name, i+1, n, maxLineLength)
 			}
 		}
 	}
@@ -100,14 +101,14 @@
 func TestBalancerNodeDirectories(t *testing.T) {
 	b := readBalancer(t)
 	if len(*b.Node) == 0 {
-		t.Error("node: no directory")
+		t.Error("node: got no directory, want at least one")
 	}
 	for _, name := range *b.Node {
 		info, err := os.Stat(filepath.Join(repositoryRoot, name))
 		if err != nil {
 			t.Errorf("node: %v", err)
 		} else if !info.IsDir() {
-			t.Errorf("node: %s: no directory", name)
+			t.Errorf("node: %s: not a directory", name)
 		}
 	}
 }
