--- a/docs/logtexts_test.go
+++ b/docs/logtexts_test.go
@@ -1,4 +1,4 @@
-// Package docs_test checks that what the on-call pages quote from the program is what the program says.
+// Package docs_test checks the documentation pages against the sources: quoted log texts, paths and names of tests.
 package docs_test
 
 import (
@@ -17,16 +17,16 @@
 
 const (
 	repositoryRoot = ".."
-	// minFixedLetters is how many letters a text of the program needs outside its format verbs to stand for a part of a
-	// quoted line: shorter ones would match by chance.
+	// minFixedLetters is the minimum number of letters outside format verbs that a text of the program needs to match a part
+	// of a quoted line. Shorter texts would match by chance.
 	minFixedLetters = 4
 )
 
-// checkedHeaders are the headers of first columns whose code spans quote the program.
+// checkedHeaders are the headers of table columns whose code spans quote the program.
 var checkedHeaders = []string{"seen", "log line", "line", "line in the log"}
 
-// TestQuotedTextsAreThePrograms checks each code span in the first column of the on-call pages' tables: a log line, a
-// counter or a field that no source file has fails.
+// TestQuotedTextsAreThePrograms checks the code spans in the first column of the on-call pages' tables. It fails if no
+// source file contains a quoted log line, counter or field.
 func TestQuotedTextsAreThePrograms(t *testing.T) {
 	program := readProgramTexts(t)
 	pages, err := filepath.Glob("oncall*.md")
@@ -39,17 +39,17 @@
 			quotes++
 			for fragment := range strings.SplitSeq(quoted.text, "...") {
 				if missing := program.uncoveredWords(fragment); len(missing) > 0 {
-					t.Errorf("%s:%d: %q: the program does not say %q", page, quoted.line, quoted.text, missing)
+					t.Errorf("%s:%d: %q: no text of the program contains %q", page, quoted.line, quoted.text, missing)
 				}
 			}
 		}
 	}
 	if quotes == 0 {
-		t.Error("no quoted text was found: the pages or this test have changed their form")
+		t.Error("found no quoted text: the format of the pages or of this test has changed")
 	}
 }
 
-// TestUncoveredWords plants texts that the program does not have.
+// TestUncoveredWords checks that quotes of other wordings and unknown counters are reported.
 func TestUncoveredWords(t *testing.T) {
 	program := programTexts{newTemplate("node %d ejected: %d out, silent %d ms"), newTemplate("gone"), newTemplate("ClientsOpen")}
 	for _, c := range []struct {
@@ -65,13 +65,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := program.uncoveredWords(c.quoted); len(got) != c.uncovered {
-				t.Errorf("%q: uncovered %q, want %d words", c.quoted, got, c.uncovered)
+				t.Errorf("%q: got uncovered words %q, want %d", c.quoted, got, c.uncovered)
 			}
 		})
 	}
 }
 
-// quotedText is a code span and the line of the page in which it stands.
+// quotedText is a code span and its line number in the page.
 type quotedText struct {
 	text string
 	line int
@@ -79,7 +79,7 @@
 
 var codeSpan = regexp.MustCompile("`([^`]+)`")
 
-// quotedTexts returns the code spans in the first columns of a page's checked tables.
+// quotedTexts returns the code spans in the first columns of the tables of a page that have a checked header.
 func quotedTexts(t *testing.T, page string) []quotedText {
 	t.Helper()
 	content, err := os.ReadFile(page)
@@ -111,10 +111,10 @@
 	return quoted
 }
 
-// template is a text of the program: a string literal, whose format verbs stand for anything.
+// template is a string literal of the program, whose format verbs match any text.
 type template struct {
 	text     string
-	patterns []*regexp.Regexp // of the text and of each run of its parts between verbs, but for short ones
+	patterns []*regexp.Regexp // one for each run of consecutive parts between verbs, except short runs
 }
 
 type programTexts []template
@@ -134,7 +134,8 @@
 	return t
 }
 
-// compileRun matches the parts in their order, with whatever a verb prints between two of them.
+// compileRun returns a pattern that matches the parts in their order, with up to 60 characters of verb output between two of
+// them.
 func compileRun(parts []string) *regexp.Regexp {
 	quoted := make([]string, len(parts))
 	for i, part := range parts {
@@ -155,7 +156,7 @@
 	return count
 }
 
-// readProgramTexts collects the string literals of all source files but tests.
+// readProgramTexts returns the string literals of all source files except tests.
 func readProgramTexts(t *testing.T) programTexts {
 	t.Helper()
 	var texts programTexts
@@ -190,8 +191,9 @@
 
 var word = regexp.MustCompile(`[A-Za-z][A-Za-z'-]+`)
 
-// uncoveredWords returns the words of a quoted text that neither stand in a text of the program as they are quoted nor are
-// matched by one. A single capital letter stands for a figure, and true and false for themselves.
+// uncoveredWords returns the words of a quoted text that no text of the program matches. It returns none if a text of the
+// program contains the whole quote. Single letters are ignored, since they are placeholders for figures, and so are true
+// and false.
 func (p programTexts) uncoveredWords(quoted string) []string {
 	quoted = strings.TrimSpace(quoted)
 	covered := make([]bool, len(quoted))
--- a/docs/paths_test.go
+++ b/docs/paths_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// sourcePath is a code span that names a file or directory of this repository.
+// sourcePath matches a code span that names a file or directory of this repository.
 var sourcePath = regexp.MustCompile(`^(?:balancer|cmd|deploy|docs|duties|internal|negativecache|rebalance|recovery|replica|zonehealth)(?:/[\w.-]+)*/?$`)
 
-// TestPathsExist checks that the pages name files and directories that are there.
+// TestPathsExist checks that the files and directories named in the pages exist.
 func TestPathsExist(t *testing.T) {
 	pages, err := filepath.Glob("*.md")
 	if err != nil {
@@ -39,14 +39,14 @@
 		}
 	}
 	if paths == 0 {
-		t.Error("no path was found: the pages or this test have changed their form")
+		t.Error("found no path: the format of the pages or of this test has changed")
 	}
 }
 
-// testName is a code span that names a test function by its package.
+// testName matches a code span that names a test function by its package.
 var testName = regexp.MustCompile(`^(\w+)\.((?:Test|Fuzz)\w+)$`)
 
-// TestTestNamesExist checks that the pages on failures and on their coverage name tests that are there.
+// TestTestNamesExist checks that the tests named in the pages on failures and on fault coverage exist.
 func TestTestNamesExist(t *testing.T) {
 	for _, page := range []string{"failures.md", "fault-coverage.md"} {
 		checkTestNames(t, page)
@@ -71,11 +71,11 @@
 		}
 	}
 	if names == 0 {
-		t.Errorf("%s: no test was found: the page or this test has changed its form", page)
+		t.Errorf("%s: found no test: the format of the page or of this test has changed", page)
 	}
 }
 
-// hasTest tells whether a package of this repository has a test function of that name.
+// hasTest reports whether a package of this repository has a test function with the given name.
 func hasTest(t *testing.T, packageName, test string) bool {
 	t.Helper()
 	for _, pattern := range []string{packageName, filepath.Join("internal", packageName), filepath.Join("cmd", packageName)} {
@@ -99,11 +99,11 @@
 	return false
 }
 
-// coverageCell is a number in a cell of the tables of the page on coverage.
+// coverageCell matches a number in a table cell of the page on fault coverage.
 var coverageCell = regexp.MustCompile(`\b\d{1,2}\b`)
 
-// TestCoverageNumbers checks that each number in a cell stands for a test in the list, and that each test in the list
-// stands in a cell; scripts that the list names are files.
+// TestCoverageNumbers checks that each number in a cell of the page on fault coverage is in its list of tests, that each
+// test of the list is used in a cell, and that the scripts in the list exist as files.
 func TestCoverageNumbers(t *testing.T) {
 	content, err := os.ReadFile("fault-coverage.md")
 	if err != nil {
@@ -111,7 +111,7 @@
 	}
 	cells, list, found := strings.Cut(string(content), "## Tests")
 	if !found {
-		t.Fatal("no list of tests")
+		t.Fatal("fault-coverage.md: found no list of tests")
 	}
 	listed, used := map[string]string{}, map[string]bool{}
 	for _, row := range regexp.MustCompile("(?m)^\\| (\\d+) \\| `([^`]+)` \\|$").FindAllStringSubmatch(list, -1) {
@@ -148,7 +148,7 @@
 	}
 	for number, test := range listed {
 		if !used[number] {
-			t.Errorf("%s %s: stands in no cell", number, test)
+			t.Errorf("%s %s: used in no cell", number, test)
 		}
 	}
 }
