--- a/cmd/emulator/spread.go
+++ b/cmd/emulator/spread.go
@@ -14,7 +14,7 @@
 
 	// spreadTimeout is the simulated time after which a proxy that the change has not reached counts as never reached.
 	spreadTimeout = 4 * replica.Second
-	// ticksPerMillisecond is the number of units of replica.Time in a millisecond.
+	// ticksPerMillisecond is the number of units of replica.Time, which are tenths of a millisecond, in a millisecond.
 	ticksPerMillisecond = replica.Second / 1000
 )
 
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -36,15 +36,15 @@
 	table.Rows = append(table.Rows, invalid)
 	got, err := table.Compare("p99_ms", "")
 	if err != nil || len(got) != 2 {
-		t.Fatalf("got differences %v, error %v, want 2 differences", got, err)
+		t.Fatal(got, err)
 	}
 	if d := got[0]; d.Variant != "same" || d.Significant() || d.Pairs != 12 ||
 		!strings.Contains(d.String(), "no difference seen") {
-		t.Errorf("got %v, want no difference for variant same over 12 pairs", d)
+		t.Error(d)
 	}
 	if d := got[1]; d.Variant != "more" || !d.Significant() || d.Low < 1.9 || d.High > 2.2 ||
 		!strings.Contains(d.String(), "differs") {
-		t.Errorf("got %v, want a difference of about 2 for variant more", d)
+		t.Error(d)
 	}
 	if again, _ := table.Compare("p99_ms", ""); !reflect.DeepEqual(got, again) {
 		t.Error("two comparisons of the same table differ")
@@ -54,12 +54,12 @@
 		t.Errorf("got variants %v, want the order of the experiment", got)
 	}
 	if back, _ := table.Compare("p99_ms", ""); back[0].Variant != "base" || back[0].High > -1.9 {
-		t.Errorf("got %v, want a difference of about -2 for variant base", back)
+		t.Error(back)
 	}
 	table.Properties = table.Properties[:2]
 	table.Rows = table.Rows[:15]
 	if few, _ := table.Compare("p99_ms", ""); !strings.Contains(few[0].String(), "too few") {
-		t.Errorf("got %v, want too few pairs", few)
+		t.Error(few)
 	}
 	for _, bad := range []struct{ metric, base string }{{"p98_ms", ""}, {"p99_ms", "unknown"}} {
 		if _, err := table.Compare(bad.metric, bad.base); err == nil {
@@ -166,7 +166,7 @@
 		times[run]++
 		sorted = sorted && (i == 0 || run.Variant >= schedule[i-1].Variant)
 		if run.Round != i/6 {
-			t.Errorf("run %d: got round %d, want %d", i, run.Round, i/6)
+			t.Error("runs of different rounds are mixed")
 		}
 	}
 	if len(schedule) != 12 || len(times) != 12 || sorted || !reflect.DeepEqual(schedule, e.Schedule()) {
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -219,7 +219,8 @@
 	}
 }
 
-// drawFeatures turns on, in some scenarios, zone health, gossip and state files, which are optional in a deployment.
+// drawFeatures turns on, in some scenarios, features that are off when proxies are deployed standalone: zone health, gossip
+// and state files.
 func (d *drawer) drawFeatures() {
 	s := d.scenario
 	if len(s.Fleet.Zones) > 0 && d.oneIn(2) {
