--- a/internal/emulator/backends.go
+++ b/internal/emulator/backends.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// startBackends starts the origin, the caches and the proxies' discovery agents, which know the whole list.
+// startBackends starts the origin, the caches and one discovery agent per proxy. Each agent serves the complete endpoint list.
 func (r *runner) startBackends() error {
 	d := r.plan.Scenario
 	var err error
@@ -33,6 +33,7 @@
 	return nil
 }
 
+// startDiscovery starts the discovery agent of a proxy and publishes all endpoints as active.
 func (r *runner) startDiscovery(proxy int) error {
 	d := NewDiscovery(proxy, r.log)
 	d.network = r.network
@@ -49,8 +50,8 @@
 	return nil
 }
 
-// startNode starts a cache or the origin. A cache that starts during the scenario, at startedAt, does so in slow start; at the
-// zero time it is warm.
+// startNode starts a cache or the origin. A nonzero startedAt is the time at which a cache starts during the scenario: the cache
+// begins empty and in slow start. With the zero time it begins warm.
 func (r *runner) startNode(name string, origin bool, startedAt time.Time) (*Node, error) {
 	d := r.plan.Scenario
 	n, err := NewNode(r.nextNodeIP(), name, origin, d.Proxies, r.log)
@@ -68,8 +69,8 @@
 	return n, nil
 }
 
-// nodesPerIP is how many nodes listen at one loopback address: each takes a port for each proxy, and the machine's own
-// connections take their ports from the same addresses.
+// nodesPerIP is the number of nodes that share one loopback address. It is limited because each node takes one port per proxy,
+// and connections of the machine take their local ports from the same address.
 const nodesPerIP = 32
 
 // nextNodeIP returns the loopback address of the next node.
@@ -87,7 +88,8 @@
 	return r.startNode(name, false, time.Now())
 }
 
-// recordNodeStart begins a cache's slow start, with which it is empty, unless the time is zero.
+// recordNodeStart sets the start time of a cache. If the time is nonzero, it also empties the cache and records that slow start
+// has begun.
 func (r *runner) recordNodeStart(n *Node, at time.Time) {
 	n.work.start(at)
 	if at.IsZero() {
@@ -97,7 +99,7 @@
 	r.log.Record(Event{Kind: SlowStartBegan, Proxy: -1, Node: n.Name, Figure: n.work.commandsPerSecond()})
 }
 
-// endpointRow returns a node's row as a proxy's discovery agent reports it.
+// endpointRow returns the row of a node in the endpoint list of a proxy's discovery agent.
 func (r *runner) endpointRow(n *Node, proxy int, status string) Endpoint {
 	row := Endpoint{Name: n.Name, Address: n.Addr(proxy), Kind: "cache", Status: status}
 	if n.Origin {
@@ -111,14 +113,14 @@
 	return row
 }
 
-// publish has every discovery agent report a node's status.
+// publish publishes the status of a node at every discovery agent.
 func (r *runner) publish(n *Node, status string) {
 	for i, d := range r.discoveries {
 		d.Publish(r.endpointRow(n, i, status))
 	}
 }
 
-// nodesInZone returns the caches of a zone.
+// nodesInZone returns the caches in a zone.
 func (r *runner) nodesInZone(zone string) (nodes []*Node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -12,55 +12,55 @@
 
 var errNoSuchKey = errors.New("the origin has no such key")
 
-// cluster is the state that nodes share: which cache has which keys, and what the origin has carried out. Its methods may be
-// called concurrently, those whose name ends in Locked with mu held.
+// cluster is the state that the nodes of a run share: the keys in each cache and the writes that the origin has executed. Its
+// methods may be called concurrently; methods whose name ends in Locked require mu.
 type cluster struct {
 	log         *EventLog
 	scenario    *Scenario
 	valueSize   int           // bytes
-	network     *network      // nil: nothing stands between processes
-	connections atomic.Int64  // that nodes have accepted
-	sent        *sentCommands // nil: nobody notes what clients send
-
-	mu       sync.Mutex
-	zones    map[string]string     // by node
-	cached   map[string]*nodeCache // by node
-	missedBy map[string][]string   // by request, the caches that missed until the origin answers
-	lastRun  map[string]time.Time  // by idempotency key, when what the origin last carried out had come
-	routes   map[string]Route      // by request
-	proxyOf  map[string]int        // by request, the proxy that a client sent it to last
-	written  map[string]int        // by key that was written, the number of its last write
-	writes   int
-}
-
-// nodeCache is the keys that a cache has: those that it was started with, and those that it was given, unless they were
-// written since.
+	network     *network      // nil: no simulated links
+	connections atomic.Int64  // number of connections that nodes have accepted
+	sent        *sentCommands // nil: commands of clients are not recorded
+
+	mu           sync.Mutex
+	zones        map[string]string     // by node
+	cached       map[string]*nodeCache // by node
+	missedBy     map[string][]string   // by request ID, the caches that missed, until the origin responds
+	lastExecuted map[string]time.Time  // by idempotency key, the receive time of the last executed write
+	routes       map[string]Route      // by request ID
+	proxyOf      map[string]int        // by request ID, the proxy that a client last sent the request to
+	written      map[string]int        // by key, the number of its last write; absent: never written
+	writes       int                   // number of executed and repeated writes
+}
+
+// nodeCache is the set of keys in a cache: the keys that it started with and the keys inserted since, except those that were
+// written later.
 type nodeCache struct {
-	warm  bool           // it was started with the scenario's part of all keys
-	given map[string]int // by key, the number of the last write of any key then
+	warm       bool           // the cache started with the scenario's fraction of all keys
+	insertedAt map[string]int // by key, the value of cluster.writes when the key was inserted
 }
 
 func newCluster(scenario *Scenario, log *EventLog) *cluster {
 	return &cluster{
 		sent: &sentCommands{byID: map[string]clientCommand{}},
 		log:  log, valueSize: scenario.Keys.ValueBytes, scenario: scenario, zones: map[string]string{},
-		cached: map[string]*nodeCache{}, missedBy: map[string][]string{}, lastRun: map[string]time.Time{},
+		cached: map[string]*nodeCache{}, missedBy: map[string][]string{}, lastExecuted: map[string]time.Time{},
 		routes: map[string]Route{}, proxyOf: map[string]int{}, written: map[string]int{},
 	}
 }
 
-// proxyName returns the name of a proxy by its index.
+// proxyName returns the name of the proxy with an index.
 func proxyName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// recordProxy records to which proxy a client sends a request.
+// recordProxy records the proxy to which a client sends a request.
 func (c *cluster) recordProxy(id string, proxy int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.proxyOf[id] = proxy
 }
 
-// proxyFor returns the proxy that a client sent a request to, or the given one where that is not known. An attempt's address does
-// not tell it, since a proxy may have learnt the address from another.
+// proxyFor returns the proxy that a client sent a request to, or otherwise if no client has recorded the request. The address at
+// which an attempt arrives does not identify the proxy, because a proxy may have received that address by gossip.
 func (c *cluster) proxyFor(id string, otherwise int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	return otherwise
 }
 
-// checkSent records that a node has received what no client has sent, if it has.
+// checkSent records a CommandInvented event if a node has received a command that no client has sent.
 func (c *cluster) checkSent(n *Node, proxy int, id string, received clientCommand) {
 	if !c.sent.wasSent(id, received) {
 		note := fmt.Sprintf("%s %.40q, request %q, %q, %d bytes", received.name, received.key, id, received.facts, len(received.value))
@@ -78,17 +78,18 @@
 	}
 }
 
-// checkReadable records that a node could not read a command, unless its connection ended before the last byte.
+// checkReadable records a CommandInvented event if a node could not parse a command. An error of a connection that ended before
+// the last byte is ignored.
 func (c *cluster) checkReadable(n *Node, proxy int, err error) {
 	var networkError net.Error
 	ended := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) ||
 		errors.Is(err, errLinkReset) || errors.As(err, &networkError)
 	if c.sent != nil && !ended {
-		c.log.Record(Event{Kind: CommandInvented, Proxy: proxy, Node: n.Name, Note: "what can't be read: " + err.Error()})
+		c.log.Record(Event{Kind: CommandInvented, Proxy: proxy, Node: n.Name, Note: "malformed command: " + err.Error()})
 	}
 }
 
-// crossZoneDelay waits for as long as the way between a proxy and a cache takes more than within a zone.
+// crossZoneDelay sleeps for the additional latency between a proxy and a cache in different zones.
 func (c *cluster) crossZoneDelay(n *Node, proxy int) {
 	zones := c.scenario.Fleet.Zones
 	if len(zones) <= 1 || n.Origin {
@@ -102,7 +103,7 @@
 	}
 }
 
-// lookUp does a cache's work on a command and reports whether it has the key. An error is errQueueFull.
+// lookUp processes a command at a cache and reports whether the cache has the key. The only error is errQueueFull.
 func (c *cluster) lookUp(n *Node, proxy int, id, key string) (bool, error) {
 	if n.work == nil {
 		return true, nil
@@ -120,20 +121,20 @@
 	return cached, nil
 }
 
-// originRequest is a request at the origin.
+// originRequest is a request that the origin has received.
 type originRequest struct {
 	id             string
 	proxy          int
 	key            string
 	idempotencyKey string // "": none
 	write          bool
-	receivedAt     time.Time // to its last byte
+	receivedAt     time.Time // of the last byte
 }
 
-// fetch does the origin's work on a request. A value that is read is cached from then on by the caches that missed; one that is
-// written is cached nowhere. A write's repeat is dropped if it came within the deduplication window of its idempotency key, which
-// counts from when the other came, however long either waits for its turn. An error is
-// errQueueFull or errNoSuchKey.
+// fetch processes a request at the origin. A read inserts the key into the caches that missed; a write invalidates the key in all
+// caches. A repeated write is not executed if it was received within the deduplication window of its idempotency key. The window
+// starts when the executed write was received, regardless of how long either write is queued. The error is errQueueFull or
+// errNoSuchKey.
 func (c *cluster) fetch(n *Node, r originRequest) error {
 	if n.work == nil {
 		return nil
@@ -153,18 +154,19 @@
 	}
 	for _, name := range c.missedBy[r.id] {
 		if cache := c.cached[name]; cache != nil {
-			cache.given[r.key] = c.writes
+			cache.insertedAt[r.key] = c.writes
 		}
 	}
 	delete(c.missedBy, r.id)
 	return nil
 }
 
+// writeLocked executes a write, unless it repeats one within the deduplication window, and invalidates the key in all caches.
 func (c *cluster) writeLocked(n *Node, r originRequest) {
 	window := millis(c.routes[r.id].DedupMS)
-	if at, ok := c.lastRun[r.idempotencyKey]; r.idempotencyKey == "" || !ok || r.receivedAt.Sub(at).Abs() >= window+timingSlack {
+	if at, ok := c.lastExecuted[r.idempotencyKey]; r.idempotencyKey == "" || !ok || r.receivedAt.Sub(at).Abs() >= window+timingSlack {
 		if r.idempotencyKey != "" {
-			c.lastRun[r.idempotencyKey] = r.receivedAt
+			c.lastExecuted[r.idempotencyKey] = r.receivedAt
 		}
 		c.log.Record(Event{Kind: WriteExecuted, RequestID: r.id, Proxy: r.proxy, Node: n.Name, Note: r.idempotencyKey})
 	}
@@ -178,26 +180,26 @@
 	if cache == nil {
 		return false
 	}
-	if since, given := cache.given[key]; given {
-		return since >= c.written[key]
+	if insertedWrite, ok := cache.insertedAt[key]; ok {
+		return insertedWrite >= c.written[key]
 	}
 	return cache.warm && c.written[key] == 0 && hashedFloat("warm", key) < c.scenario.Keys.CachedPart && !c.isAbsentLocked(key)
 }
 
-// isAbsentLocked reports whether the origin has no such key by now.
+// isAbsentLocked reports whether the origin lacks a key: the key was absent at the start and has not been written since.
 func (c *cluster) isAbsentLocked(key string) bool {
 	part := c.scenario.NegativeCache.AbsentPart
 	return part > 0 && c.written[key] == 0 && hashedFloat("missing", key) < part
 }
 
-// resetCache empties a node's cache, or has it hold the keys that caches have at the start.
+// resetCache empties the cache of a node or, if warm, fills it with the keys that caches have at the start.
 func (c *cluster) resetCache(name string, warm bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cached[name] = &nodeCache{warm: warm, given: map[string]int{}}
+	c.cached[name] = &nodeCache{warm: warm, insertedAt: map[string]int{}}
 }
 
-// assignZone puts a node into the next of the zones, if there are any.
+// assignZone assigns zones to nodes in rotation. Without zones it does nothing.
 func (c *cluster) assignZone(name string) {
 	zones := c.scenario.Fleet.Zones
 	if len(zones) == 0 {
@@ -208,14 +210,14 @@
 	c.zones[name] = zones[len(c.zones)%len(zones)]
 }
 
-// zoneOf returns a node's zone, "" where it has none.
+// zoneOf returns the zone of a node, "" if it has none.
 func (c *cluster) zoneOf(name string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.zones[name]
 }
 
-// nodesInZone returns the names of a zone's caches.
+// nodesInZone returns the names of the caches in a zone.
 func (c *cluster) nodesInZone(zone string) (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
