--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -16,65 +16,66 @@
 const (
 	statusActive  = "active"
 	statusLeaving = "leaving" // draining
-	statusLeft    = "left"
+	statusLeft    = "left"    // removed from the list
 )
 
 // Endpoint is an endpoint as one proxy's discovery agent reports it.
 type Endpoint struct {
 	Name, Address, Zone, Kind, Status string
-	StartedAtMS                       int64 // start of the endpoint in Unix milliseconds, 0: not known
+	StartedAtMS                       int64 // start of the endpoint in Unix milliseconds; 0: unknown
 }
 
-// String returns the endpoint in the JSON of the discovery protocol.
+// String returns the JSON encoding of the endpoint in the discovery protocol.
 func (r Endpoint) String() string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":1,"status":%q,"weight":1,"since_ms":%d}`,
 		r.Name, r.Address, r.Zone, r.Kind, r.Status, r.StartedAtMS)
 }
 
-// DiscoveryMode is how discovery treats watches.
+// DiscoveryMode is the way in which a discovery agent serves watches.
 type DiscoveryMode string
 
 // Modes of discovery.
 const (
 	discoveryServes  DiscoveryMode = ""
-	discoverySilent  DiscoveryMode = "silent"  // watches stay open and are sent nothing, for good
-	discoveryDown    DiscoveryMode = "down"    // watches are sent nothing until the mode changes
+	discoverySilent  DiscoveryMode = "silent"  // watches stay open and receive nothing, even after the mode changes
+	discoveryStalled DiscoveryMode = "down"    // watches receive nothing until the mode changes
 	discoveryCut     DiscoveryMode = "cut"     // connections are closed
 	discoveryGarbled DiscoveryMode = "garbled" // malformed data is sent and connections are closed
-	discoveryFull    DiscoveryMode = "full"    // watches are refused
+	discoveryRefuses DiscoveryMode = "full"    // watches are refused with status 503
 )
 
-// keepaliveInterval is how often an open watch is sent an empty line.
+// keepaliveInterval is the interval at which an idle watch is sent an empty line.
 const keepaliveInterval = 500 * time.Millisecond
 
-// Discovery is a stand-in for the service discovery agent on one proxy's machine. Its methods may be called concurrently.
+// Discovery is a stand-in for the service discovery agent on the machine of one proxy. Its methods may be called concurrently.
 type Discovery struct {
 	Proxy         int
-	WatchesOpened atomic.Int64 // watches that were opened
-	OpenWatches   atomic.Int64 // watches that are open
-	BytesSent     atomic.Int64 // of lists and changes
+	WatchesOpened atomic.Int64 // number of watches opened so far
+	OpenWatches   atomic.Int64 // number of watches that are open
+	BytesSent     atomic.Int64 // bytes of lists and changes sent
 	log           *EventLog
-	network       *network // nil: the proxy reaches it directly
+	network       *network // nil: the proxy connects directly
 	serving       sync.WaitGroup
 
-	mu              sync.Mutex
-	versions        [][]Endpoint        // changes by version, of which the first is the whole list
-	current         map[string]Endpoint // the latest row of each endpoint, by name
-	mode            DiscoveryMode
-	silencedWatches int // how often the watches that were open have been silenced
-	withholding     bool
-	withheld        [][]Endpoint  // changes that are not published yet
-	changed         chan struct{} // closed at each change of what stands above
-	conns           []net.Conn
-	servers         []*http.Server
+	mu           sync.Mutex
+	versions     [][]Endpoint        // rows of each version; the first version is the complete list
+	current      map[string]Endpoint // the latest row of each endpoint, by name
+	mode         DiscoveryMode
+	silenceCount int           // number of calls of silenceOpenWatches
+	withholding  bool          // published changes are held back
+	withheld     [][]Endpoint  // changes that are held back
+	changed      chan struct{} // closed and replaced at each change of the fields above
+	conns        []net.Conn
+	servers      []*http.Server
 }
 
-// NewDiscovery returns an agent without a list; the log may be nil. Versions are counted from 2.
+// NewDiscovery returns an agent without an endpoint list; the log may be nil. The first published version has index 2.
 func NewDiscovery(proxy int, log *EventLog) *Discovery {
 	return &Discovery{Proxy: proxy, log: log, changed: make(chan struct{}), current: map[string]Endpoint{}}
 }
 
-// Listen serves at a free port of a loopback address and returns the server and its address; it may be called repeatedly.
+// Listen starts a server at a free port of a loopback address and returns the server and its address. It may be called
+// repeatedly.
 func (d *Discovery) Listen(ip string) (*http.Server, string, error) {
 	listener, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -93,11 +94,11 @@
 	d.mu.Lock()
 	d.servers = append(d.servers, server)
 	d.mu.Unlock()
-	d.serving.Go(func() { _ = server.Serve(listener) }) // it returns as the server is closed
+	d.serving.Go(func() { _ = server.Serve(listener) }) // returns once the server is closed
 	return server, listener.Addr().String(), nil
 }
 
-// Close ends all of its servers and waits for them.
+// Close closes all servers and waits until they have stopped accepting connections.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	servers := d.servers
@@ -108,7 +109,8 @@
 	d.serving.Wait()
 }
 
-// Publish publishes changes as one version; the first call gives the whole list.
+// Publish publishes changes as one version; the first call publishes the complete list. While changes are held back, it only
+// stores them.
 func (d *Discovery) Publish(rows ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -119,6 +121,7 @@
 	d.publishLocked(rows)
 }
 
+// publishLocked publishes changes as one version. It requires mu.
 func (d *Discovery) publishLocked(rows []Endpoint) {
 	d.versions = append(d.versions, rows)
 	for _, row := range rows {
@@ -130,13 +133,14 @@
 	d.notifyLocked()
 }
 
-// notifyLocked wakes all watches.
+// notifyLocked wakes all watches. It requires mu.
 func (d *Discovery) notifyLocked() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// assumeDelivered records what counts as delivered by now, whether or not it was, unless a later version has replaced it.
+// assumeDelivered records rows as delivered because their delivery deadline has passed, whether or not a watch has received them.
+// Rows that a later version has replaced are skipped.
 func (d *Discovery) assumeDelivered(rows []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,13 +151,14 @@
 	}
 }
 
-// recordDelivered records that its proxy knows a row, or counts as knowing it.
+// recordDelivered records that the proxy has received the status of a row, or is regarded as having received it.
 func (d *Discovery) recordDelivered(row Endpoint) {
 	d.log.Record(Event{Kind: StatusDelivered, Proxy: d.Proxy, Node: row.Name, Note: row.Status})
 }
 
-// recordKnownAtStart records which endpoints are not active as a proxy process starts: this counts as delivered from that
-// process's first moment, whether or not a watch is open, unless the agent says nothing then: it counts a little later.
+// recordKnownAtStart records the endpoints that are not active when a proxy process starts. Their status counts as delivered from
+// the start of the process, whether or not a watch is open. If the agent does not serve watches at that time, the status counts
+// as delivered after deliveryDeadline instead.
 func (d *Discovery) recordKnownAtStart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,15 +177,15 @@
 	}
 }
 
-// silenceOpenWatches has the open watches stay open and be sent nothing; later ones are served.
+// silenceOpenWatches stops sending on the watches that are open, without closing them. Watches opened later are served.
 func (d *Discovery) silenceOpenWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silencedWatches++
+	d.silenceCount++
 	d.notifyLocked()
 }
 
-// setWithholding begins to hold back published changes, or publishes those held back.
+// setWithholding starts or stops holding back changes. Stopping publishes the changes held back so far.
 func (d *Discovery) setWithholding(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -193,14 +198,14 @@
 	}
 }
 
-// SetMode changes the mode; "cut" and "garbled" close all connections.
+// SetMode sets the mode. The modes "cut" and "garbled" also close all connections.
 func (d *Discovery) SetMode(mode DiscoveryMode) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.mode = mode
 	if mode == discoveryCut || mode == discoveryGarbled {
 		for _, c := range d.conns {
-			_ = c.Close() // many have ended before
+			_ = c.Close() // the connection may have ended already
 		}
 		d.conns = nil
 	}
@@ -216,42 +221,43 @@
 
 // watch is one open watch.
 type watch struct {
-	discovery *Discovery
-	response  http.ResponseWriter
-	request   *http.Request
-	silenced  int  // the discovery's silencedWatches as the watch was opened
-	next      int  // index of the version that is sent next
-	begun     bool // the response has begun
+	discovery    *Discovery
+	response     http.ResponseWriter
+	request      *http.Request
+	silenceCount int  // value of Discovery.silenceCount when the watch was opened
+	next         int  // position in Discovery.versions of the next version to send
+	begun        bool // part of the response has been sent
 }
 
+// serveWatch serves one watch until it ends.
 func (d *Discovery) serveWatch(response http.ResponseWriter, request *http.Request) {
-	since, _ := strconv.Atoi(request.URL.Query().Get("since")) // none or malformed: from the beginning
+	since, _ := strconv.Atoi(request.URL.Query().Get("since")) // if absent or malformed, send all versions
 	d.WatchesOpened.Add(1)
 	d.OpenWatches.Add(1)
 	defer d.OpenWatches.Add(-1)
 	d.mu.Lock()
-	w := &watch{discovery: d, response: response, request: request, silenced: d.silencedWatches, next: max(since-1, 0)}
+	w := &watch{discovery: d, response: response, request: request, silenceCount: d.silenceCount, next: max(since-1, 0)}
 	d.mu.Unlock()
 	for w.step() {
 	}
 }
 
-// step does what the current mode asks for, waits until there is more to do, and reports whether the watch goes on.
+// step serves the watch in the current mode, waits for the next change or keep-alive, and reports whether the watch continues.
 func (w *watch) step() bool {
 	mode, changed, versions := w.state()
 	switch mode {
 	case discoverySilent:
-		<-w.request.Context().Done() // a silent watch stays silent when the mode changes
+		<-w.request.Context().Done() // a silenced watch stays silent after the mode changes
 		return false
-	case discoveryDown:
+	case discoveryStalled:
 		select {
 		case <-changed:
 			return true
 		case <-w.request.Context().Done():
 			return false
 		}
-	case discoveryFull:
-		if !w.begun { // one that has begun just ends
+	case discoveryRefuses:
+		if !w.begun { // once a response has begun, its status can't be changed
 			w.response.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return false
@@ -271,19 +277,20 @@
 	return true
 }
 
-// state returns the mode that holds for the watch, a channel that is closed at the next change, and the versions to send.
+// state returns the mode of the watch, a channel that is closed at the next change, and the versions to send.
 func (w *watch) state() (mode DiscoveryMode, changed <-chan struct{}, versions [][]Endpoint) {
 	d := w.discovery
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	mode = d.mode
-	if d.silencedWatches > w.silenced {
+	if d.silenceCount > w.silenceCount {
 		mode = discoverySilent
 	}
 	return mode, d.changed, d.versions[min(w.next, len(d.versions)):]
 }
 
-// send writes versions and a keep-alive line. A failed write cancels the request's context, which is looked at afterwards.
+// send writes versions and a keep-alive line. Write errors are ignored, since a failed write cancels the context of the request:
+// the versions count as delivered only if the context is still active afterwards.
 func (w *watch) send(versions [][]Endpoint) {
 	for _, rows := range versions {
 		w.next++
--- a/internal/emulator/inject.go
+++ b/internal/emulator/inject.go
@@ -84,7 +84,7 @@
 }
 
 // discoveryModes holds the mode that discovery is in while a fault of the given kind lasts.
-var discoveryModes = map[string]DiscoveryMode{"deaf": discoverySilent, "refusing": discoveryFull, "garbled-list": discoveryGarbled, "cut-watch": discoveryCut}
+var discoveryModes = map[string]DiscoveryMode{"deaf": discoverySilent, "refusing": discoveryRefuses, "garbled-list": discoveryGarbled, "cut-watch": discoveryCut}
 
 // injectFault waits until a fault event is due, counted from the scenario's start, and injects it.
 func (r *runner) injectFault(ctx context.Context, event FaultEvent, start time.Time) {
