--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -8,9 +8,9 @@
 	"woodproxy/internal/emulator"
 )
 
-// A zone that is cut off, one that is lost and comes back empty, and links that are severed in one direction or slow: with and
-// without gossip no rule is broken, and most requests are served.
-func TestZoneAndLinkFaultsBreakNoRule(t *testing.T) {
+// One zone is cut off, another is lost and returns with empty caches, and links are severed in one direction or slow. With and
+// without gossip, no invariant is violated and most requests are served.
+func TestZoneAndLinkFaultsViolateNoInvariant(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
 		scenarioWith(`"plain"`, `"zones"`, "length_s = 2.0", "length_s = 10.0", "nodes = 3", "nodes = 6", "rate = 150.0", "rate = 90.0"),
@@ -19,7 +19,7 @@
 		`kind = "link"; at_s = 6.5; for_s = 1.0; part = 1.0; from = ["n0"]; to = ["c1", "d0"]; one_way = true`,
 		`kind = "link"; at_s = 6.0; for_s = 3.0; part = 0.0; slow_ms = 30.0; from = ["n*"]; to = ["c*"]`,
 	)
-	start := program(t)
+	start := buildProgram(t)
 	for _, proxies := range []string{"proxies = 4\npeers = { talk = true, hold_s = 1.0 }", "proxies = 4"} {
 		r := playWithoutViolation(t, strings.Replace(text, "proxies = 2", proxies, 1), start)
 		slow := 0
@@ -30,14 +30,14 @@
 				slow++
 			}
 		}
-		if part := completedPart(r); part < 0.7 || part > 0.999 || slow < 50 {
-			t.Errorf("%d asked, %v, %d slow", len(r.Plan.Requests), countOutcomes(r), slow)
+		if completed := completedFraction(r); completed < 0.7 || completed > 0.999 || slow < 50 {
+			t.Errorf("%d requests: %v, want 70%% to 99.9%% completed; %d slow, want at least 50", len(r.Plan.Requests), countOutcomes(r), slow)
 		}
 	}
 }
 
-// Six processes that gossip, with some partitioned, datagrams lost, two with silent discovery, one paused and two killed at once:
-// no rule is broken, quotas are kept, and in the end all have the same rows.
+// Among six gossiping processes, two are partitioned, datagrams are lost, two have silent discovery, one is paused and two are
+// killed at once. No invariant is violated, quotas are kept, and at the end all processes have the same rows.
 func TestGossipConvergesUnderFaults(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
@@ -50,9 +50,9 @@
 		`kind = "pause"; at_s = 8.0; for_s = 2.5; nodes = 1`,
 		`kind = "mass-kill"; at_s = 5.0; for_s = 0.5; nodes = 2; spread_s = 0.5`,
 	)
-	r := playWithoutViolation(t, text, program(t))
-	if completedPart(r) < 0.8 {
-		t.Errorf("%d asked, %v", len(r.Plan.Requests), countOutcomes(r))
+	r := playWithoutViolation(t, text, buildProgram(t))
+	if completedFraction(r) < 0.8 {
+		t.Errorf("%d requests: %v; too few were completed", len(r.Plan.Requests), countOutcomes(r))
 	}
 	last, paused, leastQuota := map[int]emulator.Event{}, 0, 1.0
 	for _, e := range r.Events {
@@ -67,20 +67,20 @@
 	sum := 0.0
 	for i, e := range last {
 		if e.Note != last[0].Note || e.Note == "" || e.MadeFor != "false" {
-			t.Errorf("n%d holds %q, behind %s at %v; n0 %q at %v", i, e.Note, e.MadeFor, e.At, last[0].Note, last[0].At)
+			t.Errorf("n%d reports rows %q, behind %s, at %v; n0 reports rows %q at %v", i, e.Note, e.MadeFor, e.At, last[0].Note, last[0].At)
 		}
 		sum += e.Figure
 	}
-	if paused != 2 || leastQuota > 0.05 { // those that were killed begin at a quarter of a sixth
-		t.Errorf("%d pause events, least quota %.3f: the faults were not injected", paused, leastQuota)
+	if paused != 2 || leastQuota > 0.05 { // a restarted process begins with a quarter of its sixth
+		t.Errorf("got %d pause events, want 2; got least quota %.3f, want at most 0.05: faults were not injected", paused, leastQuota)
 	}
-	if len(last) != 6 || sum < 0.8 { // what is leased out and not yet leased in is missing
-		t.Errorf("%d proxies report %.3f of the limits together", len(last), sum)
+	if len(last) != 6 || sum < 0.8 { // a lease that its lender has deducted and its borrower has not yet added is in no quota
+		t.Errorf("got %d proxies that report %.3f of the limits in total, want 6 and at least 0.8", len(last), sum)
 	}
 }
 
-// Of three zones one vanishes with its proxies and returns empty, one is cut off, and one is slow and fails in part: the first two
-// are left by all proxies outside, the third by none, all are returned to, and no rule is broken.
+// Of three zones, b is lost with its proxies and returns with empty caches, c is cut off, and a is partly slow and failing. All
+// proxies outside b and c evacuate these zones and return to them; none evacuates a. No invariant is violated.
 func TestZonesLeft(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
@@ -91,24 +91,24 @@
 		`kind = "zone-cut"; at_s = 12.5; for_s = 3.0; zone = "c"`,
 		`kind = "zone-grey"; at_s = 13.0; for_s = 5.0; zone = "a"; times = 10.0; part = 0.2`,
 	)
-	r := playWithoutViolation(t, text, program(t))
+	r := playWithoutViolation(t, text, buildProgram(t))
 	if len(r.ZoneFaults) != 3 || r.FalseVerdicts > 0 {
-		t.Fatalf("%+v; %d verdicts that no fault explains", r.ZoneFaults, r.FalseVerdicts)
+		t.Fatalf("got zone faults %+v, want 3; %d verdicts that no fault explains, want 0", r.ZoneFaults, r.FalseVerdicts)
 	}
 	for i, z := range r.ZoneFaults {
 		left := z.NeverLeft == 0 && z.LastLeft < 3*time.Second && z.Returned > 0
 		if left != (i < 2) {
-			t.Errorf("%+v", z)
+			t.Errorf("zone fault %d: evacuated and returned to: %v, want %v: %+v", i, left, i < 2, z)
 		}
 	}
-	if completedPart(r) < 0.9 {
-		t.Errorf("%d asked, %v", len(r.Plan.Requests), countOutcomes(r))
+	if completedFraction(r) < 0.9 {
+		t.Errorf("%d requests: %v; too few were completed", len(r.Plan.Requests), countOutcomes(r))
 	}
 }
 
-// No proxy passes by a zone whose only node answers too late, as in a burst, for it is there. A zone that is cut off, so that no
-// connection comes up, is passed by.
-func TestZoneBusy(t *testing.T) {
+// No proxy evacuates a zone whose only node responds too late, as in a burst, because the node still accepts connections. A zone
+// that is cut off, so that no connection can be established, is evacuated.
+func TestOverloadedZoneIsNotEvacuated(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
 		scenarioWith(`"plain"`, `"busy"`, "length_s = 2.0", "length_s = 10.0", `zones = ["a", "b"]`, `zones = ["a", "b", "c"]`,
@@ -116,17 +116,18 @@
 		`kind = "zone-grey"; at_s = 0.5; for_s = 3.0; zone = "a"; times = 500.0`,
 		`kind = "zone-cut"; at_s = 4.5; for_s = 4.0; zone = "b"`,
 	)
-	r := playWithoutViolation(t, text, program(t))
+	r := playWithoutViolation(t, text, buildProgram(t))
 	if r.FalsePositives > 0 || len(r.ZoneFaults) != 2 {
-		t.Fatalf("%+v; %d passed by that no fault explains", r.ZoneFaults, r.FalsePositives)
+		t.Fatalf("got zone faults %+v, want 2; %d evacuations that no fault explains, want 0", r.ZoneFaults, r.FalsePositives)
 	}
 	if busy, cut := r.ZoneFaults[0], r.ZoneFaults[1]; busy.FirstLeft > 0 || cut.FirstLeft == 0 {
-		t.Errorf("busy: %+v; cut off: %+v", busy, cut)
+		t.Errorf("overloaded zone, want no evacuation: %+v; zone cut off, want an evacuation: %+v", busy, cut)
 	}
 }
 
-// A discovery watch that falls silent is replaced, and what it misses counts as delivered six seconds later; an agent may have a
-// change before its proxy starts. A proxy whose discovery delivers nothing at all breaks the rule, which shows that it is checked.
+// The proxy replaces a discovery watch that becomes silent; a change that the watch missed counts as delivered six seconds after
+// it was published. An agent may also have a change before its proxy starts. A proxy whose discovery agent delivers nothing at all
+// violates the drain invariant, which shows that the check works.
 func TestListClock(t *testing.T) {
 	t.Parallel()
 	const replaced = `kind = "replace"; at_s = 0.8; for_s = 0.1; nodes = 1; leave_ms = 9500.0`
@@ -142,17 +143,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			text := withFaults(strings.Replace(calmScenario, "length_s = 2.0", "length_s = 10.0", 1), c.faults...)
-			got := countViolations(play(t, text, program(t)))
+			got := countViolations(play(t, text, buildProgram(t)))
 			if broken := got[emulator.DrainRule] > 0; broken != c.broken || len(got) > 1 {
-				t.Errorf("%v", got)
+				t.Errorf("got violations %v, want of the drain invariant: %v, and of no other", got, c.broken)
 			}
 		})
 	}
 }
 
-// Processes that share duties, with watch leaders killed, partitioned and silenced while nodes are replaced, and a silent node: all
-// rules are kept, and fewer watches are open than where each proxy watches for itself.
-func TestTurns(t *testing.T) {
+// Processes share duties while a node is silent, nodes are replaced, and proxies that hold the discovery watches are killed,
+// partitioned and silenced. No invariant is violated, and fewer watches are open than if each proxy opens its own.
+func TestSharedDutiesReduceWatches(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
 		scenarioWith(`"plain"`, `"turns"`, "length_s = 2.0", "length_s = 18.0", "nodes = 3", "nodes = 4",
@@ -165,19 +166,21 @@
 		`kind = "replace"; at_s = 12.3; for_s = 0.5; nodes = 1; leave_ms = 4500.0`,
 		`kind = "hush"; at_s = 12.1; for_s = 0.0`,
 	)
-	r, alone := playBoth(t, text, "on = true", "on = false")
-	if completedPart(r) < 0.85 {
-		t.Errorf("%d asked, %v", len(r.Plan.Requests), countOutcomes(r))
+	r, unshared := playBoth(t, text, "on = true", "on = false")
+	if completedFraction(r) < 0.85 {
+		t.Errorf("%d requests: %v; too few were completed", len(r.Plan.Requests), countOutcomes(r))
 	}
-	if r.BackgroundLoad.MeanOpenWatches > 0.75*alone.BackgroundLoad.MeanOpenWatches || alone.BackgroundLoad.MeanOpenWatches < 6 || r.BackgroundLoad.MeanOpenWatches < 1 {
-		t.Errorf("watches open at a time: %.1f, and %.1f where each watches", r.BackgroundLoad.MeanOpenWatches, alone.BackgroundLoad.MeanOpenWatches)
+	if r.BackgroundLoad.MeanOpenWatches > 0.75*unshared.BackgroundLoad.MeanOpenWatches || unshared.BackgroundLoad.MeanOpenWatches < 6 || r.BackgroundLoad.MeanOpenWatches < 1 {
+		t.Errorf("mean number of open watches: got %.1f with shared duties, want at least 1 and at most 75%% of the %.1f without, at least 6",
+			r.BackgroundLoad.MeanOpenWatches, unshared.BackgroundLoad.MeanOpenWatches)
 	}
-	t.Logf("with shared duties %+v, each for itself %+v", r.BackgroundLoad, alone.BackgroundLoad)
+	t.Logf("with shared duties %+v, without %+v", r.BackgroundLoad, unshared.BackgroundLoad)
 }
 
-// Processes with a negative cache, with some partitioned, datagrams lost, one paused, one killed and one restarted while keys are
-// written: none is reported missing for longer after that than allowed, and the origin is spared look-ups.
-func TestMissing(t *testing.T) {
+// Processes with a negative cache are partitioned, paused, killed and restarted, and datagrams are lost, while keys are written. No
+// key is reported absent for longer than allowed after it was written, and the origin receives fewer look-ups of absent keys than
+// clients send.
+func TestNegativeCacheStaysCurrentUnderFaults(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
 		scenarioWith(`"plain"`, `"missing"`, "length_s = 2.0", "length_s = 20.0",
@@ -189,19 +192,21 @@
 		`kind = "kill"; at_s = 9.0; for_s = 0.1; nodes = 1`,
 		`kind = "restart"; at_s = 16.5; for_s = 0.1; nodes = 1`,
 	)
-	r := playWithoutViolation(t, text, program(t))
-	if completedPart(r) < 0.85 {
-		t.Errorf("%d asked, %v", len(r.Plan.Requests), countOutcomes(r))
+	r := playWithoutViolation(t, text, buildProgram(t))
+	if completedFraction(r) < 0.85 {
+		t.Errorf("%d requests: %v; too few were completed", len(r.Plan.Requests), countOutcomes(r))
 	}
 	if r.AbsentAnswersPerSecond < 20 || r.AbsentLookupsPerSecond > 0.95*r.AbsentAnswersPerSecond {
-		t.Errorf("clients hear of %.1f missing keys a second, the origin is asked for %.1f", r.AbsentAnswersPerSecond, r.AbsentLookupsPerSecond)
+		t.Errorf("%.1f replies/s for absent keys, want at least 20; %.1f origin look-ups/s, want at most 95%% of the replies",
+			r.AbsentAnswersPerSecond, r.AbsentLookupsPerSecond)
 	}
-	t.Logf("%.1f said, %.1f asked, %v after the write at most", r.AbsentAnswersPerSecond, r.AbsentLookupsPerSecond, r.MaxAbsentStaleness)
+	t.Logf("absent keys: %.1f replies/s, %.1f origin look-ups/s, reported for at most %v after the write",
+		r.AbsentAnswersPerSecond, r.AbsentLookupsPerSecond, r.MaxAbsentStaleness)
 }
 
-// Four of six proxies are killed while discovery refuses most watches. With their state files they serve as before; without they
-// have no endpoint list.
-func TestComesBack(t *testing.T) {
+// Four of six proxies are killed while discovery refuses watches. With state files, service recovers; without them, the
+// restarted proxies have no endpoint list.
+func TestStateFilesRestoreServiceWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
 		scenarioWith(`"plain"`, `"back"`, "length_s = 2.0", "length_s = 12.0", "proxies = 2", "proxies = 6\nstate = true",
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 )
 
-// inProcessProxy is a proxy that runs in this process.
+// inProcessProxy is a proxy that runs in the test process.
 type inProcessProxy struct {
 	signals chan os.Signal
 	done    chan error
@@ -24,17 +24,18 @@
 func (p inProcessProxy) Kill()              { p.signals <- syscall.SIGTERM }
 func (p inProcessProxy) Done() <-chan error { return p.done }
 
+// startInProcess starts a proxy in the test process.
 func startInProcess(config emulator.ProxyConfig) (emulator.Proxy, error) {
 	read := func() (*server.Config, error) {
 		return server.Read(config.ConfigFile, server.Config{HotRestartDir: filepath.Join(config.Dir, "tmp")})
 	}
-	place, err := read()
+	serverConfig, err := read()
 	if err != nil {
 		return nil, err
 	}
 	p := inProcessProxy{make(chan os.Signal, 4), make(chan error, 1)}
 	go func() {
-		p.done <- server.Serve(place, read, zap.NewNop(), server.Signals{Stop: p.signals})
+		p.done <- server.Serve(serverConfig, read, zap.NewNop(), server.Signals{Stop: p.signals})
 		close(p.done)
 	}()
 	return p, nil
@@ -46,8 +47,8 @@
 	}
 }
 
-// program builds the proxy, and returns how it is started as a process.
-func program(t *testing.T) emulator.StartFunc {
+// buildProgram builds the proxy and returns a function that starts it as a process.
+func buildProgram(t *testing.T) emulator.StartFunc {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "woodproxy")
 	if text, err := exec.Command("go", "build", "-o", file, "woodproxy/cmd/woodproxy").CombinedOutput(); err != nil {
@@ -56,7 +57,7 @@
 	return emulator.StartProgram(file, "serve")
 }
 
-// calmScenario is a scenario without faults, from which tests make theirs.
+// calmScenario is a scenario without faults. Tests derive their scenarios from it.
 const calmScenario = `name = "plain"
 length_s = 2.0
 proxies = 2
@@ -70,12 +71,12 @@
 ]
 `
 
-// scenarioWith returns calmScenario with texts replaced, which are given in pairs.
+// scenarioWith returns calmScenario with texts replaced. The arguments are pairs of old and new text.
 func scenarioWith(oldnew ...string) string {
 	return strings.NewReplacer(oldnew...).Replace(calmScenario)
 }
 
-// withFaults adds faults to a scenario, each given by its keys with semicolons between them.
+// withFaults adds faults to a scenario. Each fault is given as its TOML keys and values, separated by semicolons.
 func withFaults(scenario string, faults ...string) string {
 	for _, fault := range faults {
 		scenario += "[[trouble]]\n" + strings.ReplaceAll(fault, "; ", "\n") + "\n"
@@ -92,7 +93,7 @@
 	return d
 }
 
-// play plays a scenario under seed 1.
+// play runs a scenario with seed 1.
 func play(t *testing.T, text string, start emulator.StartFunc) *emulator.Report {
 	t.Helper()
 	options := emulator.Options{Start: start, Dir: t.TempDir()}
@@ -103,7 +104,7 @@
 	return r
 }
 
-// playWithoutViolation plays a scenario in which no rule may be broken.
+// playWithoutViolation runs a scenario and fails the test for each violation.
 func playWithoutViolation(t *testing.T, text string, start emulator.StartFunc) *emulator.Report {
 	t.Helper()
 	r := play(t, text, start)
@@ -113,24 +114,25 @@
 	return r
 }
 
-// playBoth plays a scenario as it is, and at the same time with one text replaced by another.
-func playBoth(t *testing.T, text, is, other string) (*emulator.Report, *emulator.Report) {
+// playBoth runs a scenario unchanged and, at the same time, with one text replaced by another. It returns both reports.
+func playBoth(t *testing.T, text, original, replacement string) (*emulator.Report, *emulator.Report) {
 	t.Helper()
-	start, reports := program(t), make([]*emulator.Report, 2)
-	t.Run("days", func(t *testing.T) {
-		for i, variant := range []string{is, other} {
+	start, reports := buildProgram(t), make([]*emulator.Report, 2)
+	t.Run("variants", func(t *testing.T) {
+		for i, variant := range []string{original, replacement} {
 			t.Run(variant, func(t *testing.T) {
 				t.Parallel()
-				reports[i] = playWithoutViolation(t, strings.Replace(text, is, variant, 1), start)
+				reports[i] = playWithoutViolation(t, strings.Replace(text, original, variant, 1), start)
 			})
 		}
 	})
 	if reports[0] == nil || reports[1] == nil {
-		t.Fatal("not played")
+		t.Fatal("a variant has no report")
 	}
 	return reports[0], reports[1]
 }
 
+// countOutcomes counts results by outcome.
 func countOutcomes(r *emulator.Report) map[emulator.Outcome]int {
 	counts := map[emulator.Outcome]int{}
 	for _, result := range r.Results {
@@ -139,12 +141,12 @@
 	return counts
 }
 
-// completedPart returns the part of the requests that was completed.
-func completedPart(r *emulator.Report) float64 {
+// completedFraction returns the fraction of the requests that were completed.
+func completedFraction(r *emulator.Report) float64 {
 	return float64(countOutcomes(r)[emulator.Completed]) / float64(len(r.Plan.Requests))
 }
 
-// countViolations counts violations by rule.
+// countViolations counts violations by invariant.
 func countViolations(r *emulator.Report) map[emulator.Rule]int {
 	counts := map[emulator.Rule]int{}
 	for _, v := range r.Violations {
--- a/internal/emulator/process_group_test.go
+++ b/internal/emulator/process_group_test.go
@@ -32,7 +32,7 @@
 	}
 	t.Cleanup(d.Close)
 	d.Publish(rows...)
-	return &processGroup{t, program(t), t.TempDir(), fmt.Sprintf("127.%d.%d.", network, os.Getpid()%250), address}
+	return &processGroup{t, buildProgram(t), t.TempDir(), fmt.Sprintf("127.%d.%d.", network, os.Getpid()%250), address}
 }
 
 // startProcess starts a proxy on the group's IP address with the given last number.
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -40,7 +40,7 @@
 			t.Parallel()
 			r := playWithoutViolation(t, text, startInProcess)
 			outcomes := countOutcomes(r)
-			if len(r.Results) != len(r.Plan.Requests) || completedPart(r) < least || outcomes[emulator.Unanswered] > 0 || r.UnansweredMalformed > 0 {
+			if len(r.Results) != len(r.Plan.Requests) || completedFraction(r) < least || outcomes[emulator.Unanswered] > 0 || r.UnansweredMalformed > 0 {
 				t.Errorf("%d asked, %v, %d bad clients without an end", len(r.Plan.Requests), outcomes, r.UnansweredMalformed)
 			}
 		})
