--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// statusPollInterval is how often proxies are polled for their gossip status, and open connections are counted.
+// statusPollInterval is the interval at which proxies are polled for their gossip status and open connections are counted.
 const statusPollInterval = 200 * time.Millisecond
 
-// maxSeeds is how many seeds a proxy's gossip file names.
+// maxSeeds is the maximum number of seeds in a proxy's gossip file.
 const maxSeeds = 3
 
 // networkNumbers counts the runs with gossip in this process: each has IP addresses of its own.
@@ -25,7 +25,7 @@
 	n int
 }
 
-// nextAddressPrefix returns the beginning of the addresses of a run.
+// nextAddressPrefix returns the first three numbers, with their dots, of the IP addresses of a run.
 func nextAddressPrefix() string {
 	networkNumbers.Lock()
 	defer networkNumbers.Unlock()
@@ -33,7 +33,8 @@
 	return fmt.Sprintf("127.%d.%d.", 100+networkNumbers.n%100, os.Getpid()%250)
 }
 
-// setUpGossip chooses where a proxy's peers reach it: at a relay, which has an IP address of its own, as the proxy has.
+// setUpGossip reserves the gossip and admin addresses of a proxy and starts the relay through which its peers reach it. Proxy and
+// relay each have an IP address of their own.
 func (r *runner) setUpGossip(i int, m *managedProxy) error {
 	proxyIP, relayIP := fmt.Sprint(r.addressPrefix, i+1), fmt.Sprint(r.addressPrefix, i+101)
 	listen, err := r.reservePort(proxyIP)
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// pollGossipStatus records each proxy's quota and rows at each statusPollInterval until the context ends.
+// pollGossipStatus records the quota and rows of each available proxy at statusPollInterval until the context ends.
 func (r *runner) pollGossipStatus(ctx context.Context) {
 	var polls sync.WaitGroup
 	for i := range r.proxies {
@@ -100,7 +101,8 @@
 	polls.Wait()
 }
 
-// recordGossipStatus polls one proxy; one that does not answer, or is no longer available then, is left out.
+// recordGossipStatus polls one proxy and records its quota and rows. Nothing is recorded if the proxy does not reply or has become
+// unavailable meanwhile.
 func (r *runner) recordGossipStatus(client *http.Client, i int) {
 	response, err := client.Get("http://" + r.proxies[i].config.AdminAddress + "/control/peers")
 	if err != nil {
@@ -114,8 +116,8 @@
 	}
 }
 
-// parseGossipStatus reads a proxy's answer about its peers into a QuotaReported event; MadeFor is whether the proxy is catching up. It
-// reports whether the answer could be read.
+// parseGossipStatus parses a reply to /control/peers into a QuotaReported event, whose MadeFor is "true" while the proxy is catching
+// up and "false" otherwise. It reports whether the reply contains a valid quota.
 func parseGossipStatus(text string) (event Event, ok bool) {
 	event.Kind = QuotaReported
 	for line := range strings.SplitSeq(text, "\n") {
@@ -141,15 +143,15 @@
 	return event, ok
 }
 
-// announcement is a node that was announced to one proxy alone.
+// announcement records that a node was announced to a single proxy.
 type announcement struct {
 	node  string
 	proxy int
 	at    time.Time
 }
 
-// announceToOne adds nodes, which are in slow start and so receive little, and announces each to one proxy alone, spread over a
-// time. At the end all proxies are told of them.
+// announceToOne adds nodes and announces each to a single proxy, at even intervals over the duration. The nodes are in slow start
+// and therefore receive few requests. At the end all of them are published to all proxies.
 func (r *runner) announceToOne(ctx context.Context, nodes int, duration time.Duration) {
 	var added []*Node
 	for k := range nodes {
@@ -158,8 +160,8 @@
 			return
 		}
 		added = append(added, n)
-		proxy := r.pickAnnounced(k)
-		// the other proxies' discovery agents count this version too, and hold it back
+		proxy := r.announcementTarget(k)
+		// the discovery agents of the other proxies hold this version back but count it, so that indexes stay equal
 		for i, d := range r.discoveries {
 			d.setWithholding(i != proxy)
 			d.Publish(r.endpointRow(n, i, statusActive))
@@ -179,9 +181,9 @@
 	}
 }
 
-// pickAnnounced returns the proxy for the k-th announcement: one that is available and whose discovery agent serves, where there
-// is such a one.
-func (r *runner) pickAnnounced(k int) int {
+// announcementTarget returns the proxy for the k-th announcement: if possible, one that is available and whose discovery agent serves
+// watches.
+func (r *runner) announcementTarget(k int) int {
 	proxy := (k*7 + 3) % len(r.discoveries)
 	for step := range r.discoveries {
 		proxy = (proxy + step) % len(r.discoveries)
--- a/internal/emulator/gossip_report.go
+++ b/internal/emulator/gossip_report.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// measureGossip reads from the proxies' logs when each learnt of announced nodes and caught up, and calculates the traffic.
+// measureGossip adds to the report the propagation times of announced nodes and the catch-up times, both from the logs of the
+// proxies, and the gossip traffic.
 func (r *runner) measureGossip(report *Report) {
 	if !r.plan.Scenario.Gossip.On {
 		return
 	}
-	learntAt := r.readGossipLogs(report)
+	receivedAt := r.readGossipLogs(report)
 	for _, a := range r.announcements {
-		r.measureAnnouncement(report, a, learntAt[a.node])
+		r.measureAnnouncement(report, a, receivedAt[a.node])
 	}
 	slices.Sort(report.PropagationTimes)
 	slices.Sort(report.CatchUpTimes)
 	measureGossipTraffic(report)
 }
 
-// readGossipLogs collects how long proxies took to catch up, and returns by node and proxy when each was first on the list, in
-// Unix seconds.
+// readGossipLogs adds the catch-up times of proxies to the report. It returns, by node and proxy, the time in Unix seconds at which
+// the proxy first listed the node.
 func (r *runner) readGossipLogs(report *Report) map[string]map[int]float64 {
-	learntAt, begun := map[string]map[int]float64{}, map[int]float64{}
+	receivedAt, begun := map[string]map[int]float64{}, map[int]float64{}
 	r.eachLogLine(func(proxy int, line logLine) {
 		switch {
 		case line.Msg == messageStarted || strings.HasPrefix(line.Msg, messageStalled):
@@ -32,23 +33,24 @@
 			report.CatchUpTimes = append(report.CatchUpTimes, seconds(line.At-begun[proxy]))
 			begun[proxy] = 0
 		case line.Msg == messageNewRow:
-			if learntAt[line.Peer] == nil {
-				learntAt[line.Peer] = map[int]float64{}
+			if receivedAt[line.Peer] == nil {
+				receivedAt[line.Peer] = map[int]float64{}
 			}
-			if _, ok := learntAt[line.Peer][proxy]; !ok {
-				learntAt[line.Peer][proxy] = line.At
+			if _, ok := receivedAt[line.Peer][proxy]; !ok {
+				receivedAt[line.Peer][proxy] = line.At
 			}
 		}
 	})
-	return learntAt
+	return receivedAt
 }
 
-// measureAnnouncement collects how long the other proxies took to learn of an announced node, by when each did.
-func (r *runner) measureAnnouncement(report *Report, a announcement, learntAt map[int]float64) {
+// measureAnnouncement adds to the report the times that the other proxies took to receive an announced node. receivedAt holds, by
+// proxy, the time in Unix seconds at which the node was received.
+func (r *runner) measureAnnouncement(report *Report, a announcement, receivedAt map[int]float64) {
 	for i := range r.proxies {
-		at, ok := learntAt[i]
+		at, ok := receivedAt[i]
 		if r.wasPaused(report.Events, i, a.at, at) {
-			continue // it could receive nothing
+			continue // a paused proxy can't receive anything
 		}
 		if ok && i != a.proxy {
 			report.PropagationTimes = append(report.PropagationTimes, seconds(at-float64(a.at.UnixMicro())/1e6))
@@ -58,7 +60,7 @@
 	}
 }
 
-// measureGossipTraffic calculates the mean traffic of a proxy from successive status reports of the same process.
+// measureGossipTraffic calculates the mean gossip traffic per proxy from successive status reports of the same process.
 func measureGossipTraffic(report *Report) {
 	var bytes, packets, elapsed float64
 	latest := map[int]Event{}
@@ -66,7 +68,7 @@
 		if e.Kind != QuotaReported {
 			continue
 		}
-		if before, ok := latest[e.Proxy]; ok && e.GossipBytes >= before.GossipBytes { // else a new process counts anew
+		if before, ok := latest[e.Proxy]; ok && e.GossipBytes >= before.GossipBytes { // smaller in a new process, which counts from 0
 			bytes += float64(e.GossipBytes - before.GossipBytes)
 			packets += float64(e.GossipPackets - before.GossipPackets)
 			elapsed += (e.At - before.At).Seconds()
@@ -78,7 +80,7 @@
 	}
 }
 
-// wasPaused reports whether a proxy was paused between a moment and another, which is a log's in Unix seconds.
+// wasPaused reports whether a pause of a proxy overlaps the span between from and to, where to is a log time in Unix seconds.
 func (r *runner) wasPaused(events []Event, proxy int, from time.Time, to float64) bool {
 	begin, pausedAt := from.Sub(r.log.start), time.Duration(-1)
 	end := seconds(to - float64(r.log.start.UnixMicro())/1e6)
