--- a/internal/emulator/inject.go
+++ b/internal/emulator/inject.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// nodeRestartDelay is for how long a node that is restarted refuses connections.
+// nodeRestartDelay is the time for which a node refuses connections during a restart.
 const nodeRestartDelay = 200 * time.Millisecond
 
-// minProxyDowntime is the least time between a proxy's being killed and its restart, and between a node's being announced as
-// leaving and its end.
+// minProxyDowntime is the minimum time between the kill of a proxy and its restart, and between the announcement that a node is
+// leaving and its stop.
 const minProxyDowntime = 500 * time.Millisecond
 
-// activeFault is a fault event that has begun.
+// activeFault is a fault event that is due.
 type activeFault struct {
 	FaultEvent
 	duration time.Duration
 	endsAt   time.Time
 }
 
-// injector injects one kind of fault and returns when the fault is over or the context has ended.
+// injector injects one kind of fault. It returns when the fault has ended or the context is done.
 type injector func(r *runner, ctx context.Context, fault activeFault)
 
-// injectors holds the injector of each fault kind of faultKinds.
+// injectors maps each kind in faultKinds to its injector.
 var injectors = map[string]injector{
 	"silent":        (*runner).injectNodeMode,
 	"failing":       (*runner).injectNodeMode,
@@ -77,16 +77,16 @@
 	"clock-step":    (*runner).injectClockStep,
 }
 
-// nodeModes holds the mode that nodes are in while a fault of the given kind lasts.
+// nodeModes maps a kind of fault to the mode of its target nodes during the fault.
 var nodeModes = map[string]NodeMode{
 	"silent": modeSilent, "failing": modeFails, "reset": modeCuts, "garbled": modeGarbled, "halves": modeHalves,
 	"closes": modeCloses,
 }
 
-// discoveryModes holds the mode that discovery is in while a fault of the given kind lasts.
+// discoveryModes maps a kind of fault to the mode of its target discovery agents during the fault.
 var discoveryModes = map[string]DiscoveryMode{"deaf": discoverySilent, "refusing": discoveryRefuses, "garbled-list": discoveryGarbled, "cut-watch": discoveryCut}
 
-// injectFault waits until a fault event is due, counted from the scenario's start, and injects it.
+// injectFault waits until a fault event is due, relative to the start of the scenario, and injects it.
 func (r *runner) injectFault(ctx context.Context, event FaultEvent, start time.Time) {
 	beginsAt := start.Add(seconds(event.AtS))
 	if !sleep(ctx, time.Until(beginsAt)) {
@@ -96,7 +96,8 @@
 	injectors[event.Kind](r, ctx, activeFault{FaultEvent: event, duration: duration, endsAt: beginsAt.Add(duration)})
 }
 
-// targetNodes returns the nodes that hold the targeted places as the fault begins; others may replace them meanwhile.
+// targetNodes returns the nodes that are currently at the positions that a fault event targets. Other nodes may replace them
+// during the fault.
 func (r *runner) targetNodes(event FaultEvent) []*Node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,9 +108,10 @@
 	return targets
 }
 
+// injectNodeMode sets the mode of nodes for the duration of the fault.
 func (r *runner) injectNodeMode(ctx context.Context, fault activeFault) {
 	part := fault.Part
-	if part == 0 { // a kind that takes no part affects all commands
+	if part == 0 { // kinds without a fraction affect all commands
 		part = 1
 	}
 	targets, began := r.targetNodes(fault.FaultEvent), time.Now()
@@ -133,7 +135,7 @@
 	slowDown(ctx, []*Node{r.origin}, fault)
 }
 
-// slowDown multiplies the service time of nodes while the fault lasts.
+// slowDown multiplies the service time of nodes by fault.Slowdown for the duration of the fault.
 func slowDown(ctx context.Context, nodes []*Node, fault activeFault) {
 	for _, n := range nodes {
 		n.work.setSlowdown(fault.Slowdown)
@@ -144,7 +146,7 @@
 	}
 }
 
-// injectNodeRestarts restarts nodes one after the other; each comes back empty and in slow start.
+// injectNodeRestarts restarts nodes one after the other. Each returns with an empty cache and in slow start.
 func (r *runner) injectNodeRestarts(ctx context.Context, fault activeFault) {
 	for _, n := range r.targetNodes(fault.FaultEvent) {
 		n.Stop()
@@ -156,7 +158,7 @@
 	}
 }
 
-// injectNodeReplacements drains nodes one after the other and puts a new node in the place of each.
+// injectNodeReplacements drains nodes one after the other and replaces each by a new node.
 func (r *runner) injectNodeReplacements(ctx context.Context, fault activeFault) {
 	for k, old := range r.targetNodes(fault.FaultEvent) {
 		r.publish(old, statusLeaving)
@@ -179,6 +181,7 @@
 	}
 }
 
+// injectStaleDiscovery holds back the changes of discovery agents for the duration of the fault.
 func (r *runner) injectStaleDiscovery(ctx context.Context, fault activeFault) {
 	for _, i := range fault.Targets {
 		r.discoveries[i].setWithholding(true)
@@ -195,8 +198,8 @@
 	}
 }
 
-// injectAgentAhead kills proxies, has a node drain while they are down, and starts them again: discovery knows of the drain
-// before they do.
+// injectAgentAhead kills proxies, drains a node while they are down, and starts them again, so that the discovery agents have the
+// drain before the proxies start.
 func (r *runner) injectAgentAhead(ctx context.Context, fault activeFault) {
 	r.mu.Lock()
 	n := r.nodes[fault.Targets[0]%len(r.nodes)]
@@ -224,6 +227,7 @@
 	}
 }
 
+// injectLinkFault adds a link fault to the network for the duration of the fault.
 func (r *runner) injectLinkFault(ctx context.Context, fault activeFault) {
 	heal := r.network.addFault(r.linkFaultOf(fault.FaultEvent))
 	r.zoneFaultBegins(fault.FaultEvent)
@@ -252,14 +256,14 @@
 	r.killProxies(ctx, fault.Targets, max(fault.duration, minProxyDowntime), seconds(fault.SpreadS), func() {})
 }
 
-// injectProxyRestarts kills proxies ("kill") or ends them gracefully ("restart"), one after the other, and starts each again.
+// injectProxyRestarts kills ("kill") or gracefully stops ("restart") proxies one after the other and starts each again.
 func (r *runner) injectProxyRestarts(ctx context.Context, fault activeFault) {
 	for _, i := range fault.Targets {
 		if fault.Kind == "kill" {
 			r.endProxy(i, nil, endKilled)
 			sleep(ctx, minProxyDowntime)
 		} else {
-			r.sendOtherSignals(i)
+			r.sendExtraSignals(i)
 			r.endProxy(i, syscall.SIGTERM, endStopped)
 		}
 		if ctx.Err() != nil || r.startProxy(ctx, i) != nil {
@@ -268,11 +272,11 @@
 	}
 }
 
-// signalSeries is how many signals of each other kind come right before the one that tells a proxy to end.
-const signalSeries = 3
+// extraSignals is the number of SIGHUP and SIGUSR1 signals, each, that a proxy receives right before SIGTERM.
+const extraSignals = 3
 
-// sendOtherSignals has a proxy read its file and log its counters several times in a row.
-func (r *runner) sendOtherSignals(i int) {
+// sendExtraSignals makes a proxy reload its configuration and log its counters several times in a row.
+func (r *runner) sendExtraSignals(i int) {
 	m := r.proxies[i]
 	m.mu.Lock()
 	process, running := m.current, m.running
@@ -281,22 +285,22 @@
 		return
 	}
 	if _, isProcess := process.Proxy.(interface{ PID() int }); !isProcess {
-		return // a stand-in without signals of its own
+		return // an in-process proxy does not distinguish signals
 	}
-	for range signalSeries {
+	for range extraSignals {
 		process.Signal(syscall.SIGHUP)
 		process.Signal(syscall.SIGUSR1)
 	}
 }
 
-// injectCrowd has clients connect to proxies that say nothing, and stay until the fault is over.
+// injectCrowd opens client connections to proxies that send nothing and keeps them open until the fault ends.
 func (r *runner) injectCrowd(ctx context.Context, fault activeFault) {
 	for _, i := range fault.Targets {
 		r.proxies[i].crowds.Add(1)
 		r.log.Record(Event{Kind: CrowdCame, Proxy: i, Note: crowdBegins})
 	}
 	var conns []net.Conn
-	for n := range fault.Count * crowdClients {
+	for n := range fault.Count * crowdConns {
 		if conn, err := net.DialTimeout("tcp", r.load.addresses[fault.Targets[n%len(fault.Targets)]], dialTimeout); err == nil {
 			conns = append(conns, conn)
 		}
@@ -311,10 +315,11 @@
 	}
 }
 
-// crowdClients is how many clients of a crowd come to each proxy.
-const crowdClients = 400
+// crowdConns is the number of connections of a crowd per unit of the fault's count.
+const crowdConns = 400
 
-// injectMalformedRequests sends malformed requests at a rate, and counts those that were neither answered nor closed on.
+// injectMalformedRequests sends malformed requests at fault.Rate per second. It counts those that the proxy neither replied to nor
+// closed the connection on.
 func (r *runner) injectMalformedRequests(ctx context.Context, fault activeFault) {
 	var clients sync.WaitGroup
 	for i := 0; time.Now().Before(fault.endsAt) && ctx.Err() == nil; i++ {
@@ -330,6 +335,7 @@
 	clients.Wait()
 }
 
+// injectSlowReaders runs fault.Count clients that read replies slowly, for the duration of the fault.
 func (r *runner) injectSlowReaders(ctx context.Context, fault activeFault) {
 	during, cancel := context.WithTimeout(ctx, fault.duration)
 	defer cancel()
