--- a/internal/emulator/machine_faults.go
+++ b/internal/emulator/machine_faults.go
@@ -11,17 +11,17 @@
 	"woodproxy/internal/faultbuild"
 )
 
-// errNoFaultPages is returned for a scenario with faults of the machine and proxies that were not built for them.
-var errNoFaultPages = errors.New("faults of the machine need a proxy that was built for them (Options.FaultPages)")
+// errNoFaultPages is the error for a scenario with machine faults if the proxies were not built with fault injection.
+var errNoFaultPages = errors.New("machine faults need a proxy built with fault injection (Options.FaultPages)")
 
-// machineFault is a kind of fault below the program.
+// machineFault describes a kind of fault that is injected into system calls.
 type machineFault struct {
 	call   faultbuild.Call
-	errnos []syscall.Errno // of which Errno names one; none: calls come short
-	short  int             // bytes
+	errnos []syscall.Errno // possible errors; none: calls only transfer fewer bytes
+	short  int             // bytes that a shortened call transfers; 0: calls are not shortened
 }
 
-// machineFaults holds the kinds that fail system calls.
+// machineFaults maps the kinds of faults that affect system calls to their descriptions.
 var machineFaults = map[string]machineFault{
 	"fail-socket":  {call: faultbuild.CallSocket, errnos: []syscall.Errno{syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM}},
 	"fail-connect": {call: faultbuild.CallConnect, errnos: []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EAGAIN}},
@@ -34,13 +34,13 @@
 	"fail-sync":    {call: faultbuild.CallSync, errnos: []syscall.Errno{syscall.EIO, syscall.ENOSPC}},
 }
 
-// needsFaultPages reports whether a kind of fault needs a proxy that was built for it.
+// needsFaultPages reports whether a kind of fault needs a proxy built with fault injection.
 func needsFaultPages(kind string) bool {
 	_, ok := machineFaults[kind]
 	return ok || kind == "clock-step"
 }
 
-// errnoByName returns the error of a kind of fault by its number in the list; numbers wrap around.
+// errno returns the error with a number in the list of the fault, 0 if the list is empty. Numbers past the end wrap around.
 func (f *machineFault) errno(number int) syscall.Errno {
 	if len(f.errnos) == 0 {
 		return 0
@@ -48,7 +48,8 @@
 	return f.errnos[number%len(f.errnos)]
 }
 
-// createFaultPages makes a page for each proxy. It stays the same over the proxy's restarts.
+// createFaultPages creates a fault page for each proxy, which is kept across restarts of the proxy. It returns errNoFaultPages if
+// the plan needs fault pages and the options do not allow them.
 func (r *runner) createFaultPages() error {
 	for _, event := range r.plan.Faults {
 		if needsFaultPages(event.Kind) && !r.options.FaultPages {
@@ -71,12 +72,12 @@
 
 func (r *runner) closeFaultPages() {
 	for _, page := range r.faultPages {
-		_ = page.Close() // nothing uses it any more
+		_ = page.Close() // the page is no longer used
 	}
 	r.faultPages = nil
 }
 
-// injectMachineFault has system calls of proxies fail or come short while the fault lasts.
+// injectMachineFault makes system calls of proxies fail or transfer fewer bytes for the duration of the fault.
 func (r *runner) injectMachineFault(ctx context.Context, fault activeFault) {
 	kind := machineFaults[fault.Kind]
 	perMille := max(int(fault.Part*1000), 1)
@@ -89,7 +90,7 @@
 	}
 }
 
-// injectClockStep steps the wall clocks of proxies, and back at the fault's end.
+// injectClockStep steps the wall clocks of proxies, and steps them back when the fault ends.
 func (r *runner) injectClockStep(ctx context.Context, fault activeFault) {
 	step := seconds(fault.StepS)
 	for _, i := range fault.Targets {
@@ -101,7 +102,7 @@
 	}
 }
 
-// injectOriginResets resets the origin's connections, again and again while the fault lasts.
+// injectOriginResets resets the connections of the origin repeatedly for the duration of the fault.
 func (r *runner) injectOriginResets(ctx context.Context, fault activeFault) {
 	const interval = 30 * time.Millisecond
 	for time.Now().Before(fault.endsAt) && sleep(ctx, interval) {
@@ -109,7 +110,7 @@
 	}
 }
 
-// injectConnResets resets the open connections of nodes, again and again while the fault lasts.
+// injectConnResets resets the open connections of nodes repeatedly for the duration of the fault.
 func (r *runner) injectConnResets(ctx context.Context, fault activeFault) {
 	const rounds = 3
 	for range rounds {
@@ -122,5 +123,5 @@
 	}
 }
 
-// reloadGrace is how long a discovery agent that proxies were told to leave still serves open watches.
+// reloadGrace is the time for which the old discovery address still serves open watches after proxies were reloaded with a new one.
 const reloadGrace = 1500 * time.Millisecond
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// network is the simulated links between processes, by their names. A severed link is silent as that to a lost machine is: open
-// streams stay open, and go on or are reset when it heals. Its methods may be called concurrently, and on nil where they say so.
+// network simulates the links between processes, which are identified by their names. A severed link is silent, like the link to
+// a lost machine: open streams stay open, and continue or are reset when the fault ends. Its methods may be called concurrently,
+// and on a nil network where their comment says so.
 type network struct {
-	gates gateSet // its lock is taken before mu
+	gates gateSet // its lock is acquired before mu
 
 	mu        sync.Mutex
 	faults    map[int]linkFault
 	nextFault int
-	changed   chan struct{} // closed when faults begin or end
+	changed   chan struct{} // closed and replaced when a fault begins or ends
 	random    *rand.Rand
 }
 
-// linkFault is what happens to the links that it affects.
+// linkFault describes a fault of links.
 type linkFault struct {
-	affects       func(from, to string) bool // "" stands for any name
-	lossRate      float64                    // of datagrams; 1: streams are silent as well
-	duplicateRate float64                    // of datagrams
-	maxDelay      time.Duration              // a datagram's is drawn below it, so that they overtake each other; a stream's is half of it
-	resetStreams  bool                       // streams that waited are reset when the fault ends
+	affects       func(from, to string) bool // reports whether a direction is affected; "" matches any name
+	lossRate      float64                    // probability that a datagram is lost; at 1, streams are silent as well
+	duplicateRate float64                    // probability that a datagram is duplicated
+	maxDelay      time.Duration              // datagrams get a random delay below it, so that they are reordered; streams get half of it
+	resetStreams  bool                       // streams with waiting bytes are reset when the fault ends
 }
 
 // newNetwork returns a network without faults.
@@ -35,7 +36,7 @@
 	return &network{gates: gateSet{all: map[gateKey]*listenerGate{}}, faults: map[int]linkFault{}, changed: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 21))}
 }
 
-// addFault has a fault affect links until it is ended.
+// addFault adds a fault and returns a function that ends it.
 func (n *network) addFault(fault linkFault) (end func()) {
 	n.mu.Lock()
 	n.nextFault++
@@ -53,13 +54,14 @@
 	}
 }
 
+// notifyChanged wakes the streams that wait for a link. It requires mu.
 func (n *network) notifyChanged() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// linkState returns the faults of a link's direction in one, and a channel that is closed at the next change. A nil network has
-// no faults.
+// linkState returns the combined faults of one direction of a link, and a channel that is closed at the next change. A nil network
+// has no faults.
 func (n *network) linkState(from, to string) (state linkFault, changed <-chan struct{}) {
 	if n == nil {
 		return linkFault{}, nil
@@ -83,7 +85,8 @@
 	return n.random.Float64()
 }
 
-// isCutOff reports whether a fault severs any of a process's links, so that others can't learn through them what became of it.
+// isCutOff reports whether a fault severs any link of a process. Over a severed link, other processes can't detect that the process
+// has ended.
 func (n *network) isCutOff(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,10 +98,10 @@
 	return false
 }
 
-var errLinkReset = errors.New("link reset as it healed")
+var errLinkReset = errors.New("link reset after a fault")
 
-// waitForLink returns once bytes of a stream may pass. It returns errLinkReset where the stream is to be reset, and os.ErrClosed
-// where it is closed meanwhile.
+// waitForLink waits until bytes of a stream may pass a link. It returns errLinkReset if the stream is to be reset, and os.ErrClosed
+// if the stream is closed while waiting.
 func (n *network) waitForLink(from, to string, closed <-chan struct{}) error {
 	resetPending := false
 	for {
@@ -121,7 +124,7 @@
 	}
 }
 
-// linkConn is a stand-in's end of a connection over a link.
+// linkConn is the end of a connection over a link that belongs to a stand-in.
 type linkConn struct {
 	net.Conn
 	network       *network
@@ -130,7 +133,7 @@
 	closeOnce     sync.Once
 }
 
-// wrap has a connection pass over a link. A nil network returns it as it is.
+// wrap returns a connection whose bytes pass over the link between two processes. A nil network returns the connection unchanged.
 func (n *network) wrap(c net.Conn, local, remote string) net.Conn {
 	if n == nil {
 		return c
@@ -138,7 +141,7 @@
 	return &linkConn{Conn: c, network: n, local: local, remote: remote, closed: make(chan struct{})}
 }
 
-// Read delivers bytes once the link passes them.
+// Read reads from the connection and returns once the link lets the bytes pass.
 func (c *linkConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -149,7 +152,7 @@
 	return n, err
 }
 
-// Write sends bytes once the link passes them.
+// Write writes to the connection once the link lets the bytes pass.
 func (c *linkConn) Write(b []byte) (int, error) {
 	if err := c.network.waitForLink(c.local, c.remote, c.closed); err != nil {
 		return 0, err
@@ -157,8 +160,8 @@
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection, unless the link is severed: then the remote end must not see it either, and the connection ends
-// with its stand-in.
+// Close closes the connection, unless the link is severed: in that case the remote end must not detect the close, and the
+// connection stays open until its stand-in stops.
 func (c *linkConn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	if state, _ := c.network.linkState(c.local, c.remote); state.lossRate >= 1 {
@@ -167,14 +170,14 @@
 	return c.Conn.Close()
 }
 
-// linkListener accepts connections that pass over one link.
+// linkListener is a listener whose connections pass over one link.
 type linkListener struct {
 	net.Listener
 	network       *network
 	local, remote string
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and returns it wrapped by the network.
 func (l linkListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
