--- a/internal/emulator/inject.go
+++ b/internal/emulator/inject.go
@@ -79,8 +79,8 @@
 
 // nodeModes maps a kind of fault to the mode of its target nodes during the fault.
 var nodeModes = map[string]NodeMode{
-	"silent": modeSilent, "failing": modeFails, "reset": modeCuts, "garbled": modeGarbled, "halves": modeHalves,
-	"closes": modeCloses,
+	"silent": modeSilent, "failing": modeFails, "reset": modeDisconnects, "garbled": modeGarbled, "halves": modeTruncates,
+	"closes": modeServeThenClose,
 }
 
 // discoveryModes maps a kind of fault to the mode of its target discovery agents during the fault.
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -13,40 +13,40 @@
 	"time"
 )
 
-// NodeMode is how a node answers commands.
+// NodeMode is the way in which a node responds to commands.
 type NodeMode string
 
-// Modes of nodes. Those without a remark are for caches and the origin.
+// Modes of nodes. Modes apply to caches and the origin, unless the remark names one of them.
 const (
-	modeServe   NodeMode = ""        // by its capacity and the keys that it has
-	modeHit     NodeMode = "hit"     // a value, whatever the key
-	modeMiss    NodeMode = "miss"    // a cache: a miss
-	modeAbsent  NodeMode = "absent"  // the origin: there is no such key
-	modeBusy    NodeMode = "busy"    // rejected as overloaded
-	modeFails   NodeMode = "fails"   // a server error
-	modeSilent  NodeMode = "silent"  // no answer
-	modeGarbled NodeMode = "garbled" // a malformed answer
-	modeCuts    NodeMode = "cuts"    // the connection is closed without an answer
-	modeHalves  NodeMode = "halves"  // a cache: the connection is closed in the middle of the answer
-	modeOnce    NodeMode = "once"    // a cache: the connection is closed after each answer
-	modeTwice   NodeMode = "twice"   // a cache: each command is answered twice
-	modeEndless NodeMode = "endless" // a cache: a value without its line end
-	modeDrips   NodeMode = "drips"   // a cache: the second half of the answer comes after the delay
-	modeChunked NodeMode = "chunked" // the origin: an answer in chunks
-	modeNowhere NodeMode = "nowhere" // connections are refused
-	modeCloses  NodeMode = "closes"  // a cache: served as usual, and the connection is closed after each answer
-	modeHolds   NodeMode = "holds"   // no answer until the mode changes, and then as the new mode says
+	modeServe          NodeMode = ""        // respond according to capacity and cached keys
+	modeHit            NodeMode = "hit"     // respond with a value for every key
+	modeMiss           NodeMode = "miss"    // cache: respond with a miss
+	modeAbsent         NodeMode = "absent"  // origin: respond that the key is absent
+	modeBusy           NodeMode = "busy"    // reject as overloaded
+	modeFails          NodeMode = "fails"   // respond with a server error
+	modeSilent         NodeMode = "silent"  // no response
+	modeGarbled        NodeMode = "garbled" // send a malformed response
+	modeDisconnects    NodeMode = "cuts"    // close the connection without a response
+	modeTruncates      NodeMode = "halves"  // cache: close the connection in the middle of the response
+	modeHitThenClose   NodeMode = "once"    // cache: respond with a hit and close the connection
+	modeDuplicates     NodeMode = "twice"   // cache: send each response twice
+	modeEndless        NodeMode = "endless" // cache: send a value without its line end
+	modeDelaysHalf     NodeMode = "drips"   // cache: send the second half of the value after the delay
+	modeChunked        NodeMode = "chunked" // origin: respond with chunked encoding
+	modeRefuses        NodeMode = "nowhere" // refuse connections
+	modeServeThenClose NodeMode = "closes"  // cache: serve as usual and close the connection after each response
+	modeHolds          NodeMode = "holds"   // hold commands until the mode changes, then respond in the new mode
 )
 
-// writtenValueByte is the only byte of the values that clients write.
+// writtenValueByte is the byte that the values written by clients consist of.
 const writtenValueByte = "v"
 
-// Node is a stand-in for a cache (RESP2) or the origin (HTTP/1.1). It has an address for each proxy, so that it is known which
-// proxy sent a command. Its methods may be called concurrently, Restart only on a stopped node.
+// Node is a stand-in for a cache (RESP2) or the origin (HTTP/1.1). It listens at one address per proxy, to identify the proxy that
+// sent a command. Its methods may be called concurrently, except that Restart must only be called on a stopped node.
 type Node struct {
 	Name     string
 	Origin   bool
-	Received atomic.Int64 // commands that were received whole
+	Received atomic.Int64 // number of complete commands received
 
 	listeners []net.Listener // by proxy
 	addresses []string       // by proxy
@@ -54,16 +54,16 @@
 
 	mu           sync.Mutex
 	mode         NodeMode
-	modeChanged  chan struct{} // closed when the mode changes
-	affectedPart float64       // of the commands that the mode holds for; the others are served
-	delay        time.Duration
-	valueSize    int // bytes
+	modeChanged  chan struct{} // closed and replaced when the mode changes
+	affectedPart float64       // fraction of the commands to which the mode applies; the others are served
+	delay        time.Duration // of responses in modes other than modeServe
+	valueSize    int           // bytes
 	conns        map[net.Conn]struct{}
 	stopped      bool
 	cluster      *cluster
 }
 
-// NewNode starts a node with an address for each proxy at a loopback address; the log may be nil.
+// NewNode starts a node that listens at one port per proxy of a loopback address. The log may be nil.
 func NewNode(ip, name string, origin bool, proxies int, log *EventLog) (*Node, error) {
 	n := &Node{
 		Name: name, Origin: origin, conns: map[net.Conn]struct{}{}, affectedPart: 1, modeChanged: make(chan struct{}),
@@ -81,27 +81,29 @@
 	return n, nil
 }
 
-// OpenConns returns how many connections are open.
+// OpenConns returns the number of open connections.
 func (n *Node) OpenConns() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.conns)
 }
 
-// Addr returns the node's address for a proxy.
+// Addr returns the address of the node for a proxy.
 func (n *Node) Addr(proxy int) string { return n.addresses[proxy] }
 
-// SetMode changes the mode for a part of the commands, with the mode's delay and size of values in bytes.
+// SetMode sets the mode for a fraction of the commands, the delay of responses and the size of values in bytes. The mode "nowhere"
+// also closes the listeners.
 func (n *Node) SetMode(mode NodeMode, part float64, delay time.Duration, size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.mode, n.affectedPart, n.delay, n.valueSize = mode, part, delay, size
 	n.notifyModeChanged()
-	if mode == modeNowhere {
+	if mode == modeRefuses {
 		n.closeListeners()
 	}
 }
 
+// notifyModeChanged wakes the commands that are held. It requires mu.
 func (n *Node) notifyModeChanged() {
 	close(n.modeChanged)
 	n.modeChanged = make(chan struct{})
@@ -109,26 +111,26 @@
 
 func (n *Node) closeListeners() {
 	for _, listener := range n.listeners {
-		_ = listener.Close() // it may be closed already
+		_ = listener.Close() // the listener may be closed already
 	}
 }
 
-// Stop ends the node: connections are reset and new ones refused.
+// Stop stops the node: its connections are reset and new ones are refused.
 func (n *Node) Stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stopped = true
-	n.notifyModeChanged() // commands that are held go on
+	n.notifyModeChanged() // held commands continue
 	n.closeListeners()
 	for c := range n.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // fails only on a connection that has ended
+			_ = tcp.SetLinger(0) // fails only if the connection has ended
 		}
-		_ = c.Close() // its own goroutine may have closed it
+		_ = c.Close() // the serving goroutine may have closed it
 	}
 }
 
-// Restart has a stopped node listen at its addresses again.
+// Restart makes a stopped node listen at its addresses again.
 func (n *Node) Restart() error {
 	for i, address := range n.addresses {
 		listener, err := net.Listen("tcp", address)
@@ -145,7 +147,7 @@
 	return nil
 }
 
-// attach has a node share the state of a cluster, and its connections pass over that one's links.
+// attach makes a node use the state of a cluster, and its connections pass over the links of the cluster's network.
 func (n *Node) attach(c *cluster) {
 	n.mu.Lock()
 	n.cluster = c
@@ -169,7 +171,8 @@
 	}
 }
 
-// admit serves a connection, and reports whether the node accepts further ones.
+// admit serves an accepted connection, unless it is a filler connection or the node has stopped. It reports whether the node accepts
+// further connections.
 func (n *Node) admit(c net.Conn, proxy int) bool {
 	n.mu.Lock()
 	links := n.cluster.network
@@ -192,7 +195,7 @@
 	return true
 }
 
-// serve answers commands on a connection, of which raw is the socket beneath the link, until it ends.
+// serve responds to the commands of a connection until it ends; raw is the connection without the simulated link.
 func (n *Node) serve(raw, c net.Conn, proxy int) {
 	defer func() {
 		_ = c.Close() // Stop may have closed it
@@ -200,26 +203,26 @@
 		delete(n.conns, raw)
 		n.mu.Unlock()
 	}()
-	answer := n.serveCommand
+	respond := n.serveCommand
 	if n.Origin {
-		answer = n.serveFetch
+		respond = n.serveFetch
 	}
 	reader := bufio.NewReader(c)
 	for {
-		if err := answer(c, reader, proxy); err != nil {
+		if err := respond(c, reader, proxy); err != nil {
 			return
 		}
 	}
 }
 
-// commandMode is how one command is answered.
+// commandMode is the way in which a node responds to one command.
 type commandMode struct {
 	mode  NodeMode
 	delay time.Duration
 	value string
 }
 
-// nextMode counts a command and returns how it is answered; it returns once the command is no longer held.
+// nextMode counts a command and returns the mode of its response. It waits while commands are held.
 func (n *Node) nextMode(id string) commandMode {
 	n.Received.Add(1)
 	n.mu.Lock()
@@ -237,7 +240,7 @@
 	return commandMode{mode: mode, delay: n.delay, value: value(n.Name, id, n.valueSize)}
 }
 
-// serveCommand answers one command at a cache.
+// serveCommand reads one command at a cache and responds to it. An error ends the connection.
 func (n *Node) serveCommand(c net.Conn, r *bufio.Reader, proxy int) error {
 	words, err := ReadCommand(r)
 	if err != nil {
@@ -251,7 +254,7 @@
 		Kind: AttemptReceived, RequestID: id, Proxy: proxy, Node: n.Name, Note: idempotencyKeyOf(facts), Figure: waitOf(facts),
 	})
 	command := n.nextMode(id)
-	closes := command.mode == modeCloses
+	closes := command.mode == modeServeThenClose
 	if command.mode == modeServe || closes {
 		cached, err := n.cluster.lookUp(n, proxy, id, key)
 		switch {
@@ -262,7 +265,7 @@
 		default:
 			command.mode = modeMiss
 		}
-	} else if command.mode != modeDrips {
+	} else if command.mode != modeDelaysHalf {
 		time.Sleep(command.delay)
 	}
 	if err := command.writeRESP(c); err != nil || !closes {
@@ -271,29 +274,29 @@
 	return errConnectionEnds
 }
 
-// resetConns resets all open connections, as a network does that has forgotten them.
+// resetConns resets all open connections, like a network device that has lost its connection state.
 func (n *Node) resetConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // fails only on a connection that has ended
+			_ = tcp.SetLinger(0) // fails only if the connection has ended
 		}
-		_ = c.Close() // its own goroutine may have closed it
+		_ = c.Close() // the serving goroutine may have closed it
 	}
 }
 
-// writeRESP writes a cache's answer; an error ends the connection.
+// writeRESP writes the response of a cache. An error ends the connection.
 func (m commandMode) writeRESP(w io.Writer) (err error) {
 	v := m.value
 	hit := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(v), v)
 	switch m.mode {
 	case modeHit:
 		_, err = io.WriteString(w, hit)
-	case modeOnce:
-		_, _ = io.WriteString(w, hit) // the connection ends in any case
+	case modeHitThenClose:
+		_, _ = io.WriteString(w, hit) // the connection is closed in any case
 		return errConnectionEnds
-	case modeTwice:
+	case modeDuplicates:
 		_, err = io.WriteString(w, hit+hit)
 	case modeMiss:
 		_, err = io.WriteString(w, "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
@@ -305,22 +308,22 @@
 		_, err = io.WriteString(w, "?!\r\n")
 	case modeEndless:
 		_, err = fmt.Fprintf(w, "*1\r\n$%d\r\n%s..", len(v), v)
-	case modeDrips:
+	case modeDelaysHalf:
 		if _, err = fmt.Fprintf(w, "*1\r\n$%d\r\n%s", len(v), v[:len(v)/2]); err != nil {
 			return err
 		}
 		time.Sleep(m.delay)
 		_, err = io.WriteString(w, v[len(v)/2:]+"\r\n")
-	case modeHalves:
-		_, _ = fmt.Fprintf(w, "*3\r\n$%d\r\n%s", len(v), v[:len(v)/2]) // the connection ends in any case
+	case modeTruncates:
+		_, _ = fmt.Fprintf(w, "*3\r\n$%d\r\n%s", len(v), v[:len(v)/2]) // the connection is closed in any case
 		return errConnectionEnds
-	case modeCuts:
+	case modeDisconnects:
 		return errConnectionEnds
 	}
 	return err
 }
 
-// serveFetch answers one request at the origin.
+// serveFetch reads one request at the origin and responds to it. An error ends the connection.
 func (n *Node) serveFetch(c net.Conn, r *bufio.Reader, proxy int) error {
 	request, err := http.ReadRequest(r)
 	if err != nil {
@@ -338,7 +341,7 @@
 		receivedAt: time.Now(),
 	}
 	if fetch.write && strings.Trim(string(body), writtenValueByte) != "" {
-		return errConnectionEnds // the value is not what clients write
+		return errConnectionEnds // clients never write this value
 	}
 	received := clientCommand{commandRead, fetch.key, request.Header.Get("X-Facts"), string(body)}
 	if fetch.write {
@@ -365,7 +368,7 @@
 	return command.writeHTTP(c)
 }
 
-// writeHTTP writes the origin's answer; an error ends the connection.
+// writeHTTP writes the response of the origin. An error ends the connection.
 func (m commandMode) writeHTTP(w io.Writer) (err error) {
 	v := m.value
 	switch m.mode {
@@ -381,7 +384,7 @@
 		_, err = io.WriteString(w, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	case modeSilent:
 	case modeGarbled:
-		_, _ = io.WriteString(w, "SMTP 1\r\n\r\n") // the connection ends in any case
+		_, _ = io.WriteString(w, "SMTP 1\r\n\r\n") // the connection is closed in any case
 		return errConnectionEnds
 	default:
 		return errConnectionEnds
--- a/internal/emulator/null_proxy.go
+++ b/internal/emulator/null_proxy.go
@@ -7,14 +7,14 @@
 	"net"
 )
 
-// ServeNull serves in place of a proxy until the context ends: it answers every request at once, without a backend. It is the
-// baseline of measurements. The error is that of listening.
+// ServeNull serves clients in place of a proxy until the context ends. It replies to every request immediately, without a backend,
+// as a baseline for measurements. It returns an error only if it can't listen.
 func ServeNull(ctx context.Context, addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // it accepts no more in any case
+	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // an error changes nothing: no more connections are accepted
 	for {
 		c, err := listener.Accept()
 		if err != nil {
@@ -24,21 +24,21 @@
 	}
 }
 
-// serveNull answers the commands of a connection until it ends.
+// serveNull replies to the commands of a connection until it ends.
 func serveNull(c net.Conn) {
-	defer func() { _ = c.Close() }() // all answers have been written, or the client is gone
+	defer func() { _ = c.Close() }() // all replies have been written, or the client has disconnected
 	reader := bufio.NewReader(c)
 	for {
 		words, err := ReadCommand(reader)
 		if err != nil {
 			return
 		}
-		answer := "+PONG\r\n"
+		reply := "+PONG\r\n"
 		if words[0] != "PING" {
 			v := value("null", words[2], 0)
-			answer = fmt.Sprintf("$%d\r\n%s\r\n", len(v), v)
+			reply = fmt.Sprintf("$%d\r\n%s\r\n", len(v), v)
 		}
-		if _, err := c.Write([]byte(answer)); err != nil {
+		if _, err := c.Write([]byte(reply)); err != nil {
 			return
 		}
 	}
