--- a/internal/emulator/process_group_test.go
+++ b/internal/emulator/process_group_test.go
@@ -13,16 +13,16 @@
 	"woodproxy/internal/emulator"
 )
 
-// processGroup is proxy processes that a test starts itself and that gossip, on IP addresses of their own.
+// processGroup is a group of gossiping proxy processes that a test starts itself, each on an IP address of its own.
 type processGroup struct {
 	t         *testing.T
 	start     emulator.StartFunc
 	dir       string
 	ipPrefix  string
-	discovery string // its address
+	discovery string // address of the discovery agent
 }
 
-// newProcessGroup returns a group on a network of 127.0.0.0/8 whose discovery reports the given endpoints.
+// newProcessGroup returns a group whose IP addresses begin with 127.NETWORK and whose discovery agent serves the given endpoints.
 func newProcessGroup(t *testing.T, network int, rows ...emulator.Endpoint) *processGroup {
 	t.Helper()
 	d := emulator.NewDiscovery(0, nil)
@@ -35,7 +35,7 @@
 	return &processGroup{t, buildProgram(t), t.TempDir(), fmt.Sprintf("127.%d.%d.", network, os.Getpid()%250), address}
 }
 
-// startProcess starts a proxy on the group's IP address with the given last number.
+// startProcess starts a proxy at the IP address of the group that ends in host.
 func (g *processGroup) startProcess(name, host, adminAddress string) emulator.Proxy {
 	g.t.Helper()
 	ip, dir := g.ipPrefix+host, filepath.Join(g.dir, name)
@@ -83,7 +83,7 @@
 	return p
 }
 
-// call makes an operators' call and returns the status code and text of its answer, or the error.
+// call sends a request to an admin server and returns the status code and text of the response, or the text of the error.
 func call(method, address, path string, body ...string) string {
 	request, err := http.NewRequest(method, "http://"+address+path, strings.NewReader(strings.Join(body, "")))
 	if err != nil {
@@ -102,7 +102,7 @@
 	return fmt.Sprint(response.StatusCode, " ", string(text))
 }
 
-// await polls an operators' call until its answer contains all of the given texts.
+// await polls an admin server until its response contains all given texts. It fails the test after 300 polls.
 func (g *processGroup) await(what, address, path string, want ...string) {
 	g.t.Helper()
 	text := ""
@@ -113,9 +113,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	g.t.Fatalf("%s: never: %s", what, text)
+	g.t.Fatalf("%s: timed out; got %q, want it to contain %q", what, text, want)
 }
 
+// containsAll reports whether a text contains all of the given texts.
 func containsAll(text string, want []string) bool {
 	for _, w := range want {
 		if !strings.Contains(text, w) {
@@ -125,7 +126,7 @@
 	return true
 }
 
-// cacheRow returns an active cache that nothing listens for.
+// cacheRow returns an active cache at an address where nothing listens.
 func cacheRow(name, zone string) emulator.Endpoint {
 	return emulator.Endpoint{Name: name, Address: "127.0.0.1:1", Kind: "cache", Status: "active", Zone: zone}
 }
