--- a/internal/emulator/proxies.go
+++ b/internal/emulator/proxies.go
@@ -11,57 +11,57 @@
 	"time"
 )
 
-// parallelStarts is how many proxies are started at a time.
+// parallelStarts is the maximum number of proxies that are started concurrently.
 const parallelStarts = 8
 
-// Gossiping proxies have found each other, and have their whole quotas, so long after the last was started.
+// Gossiping proxies need this time after the last start until they have found each other and have their complete quotas.
 const (
 	gossipSettleTime         = 6 * time.Second
 	gossipSettleTimePerProxy = 50 * time.Millisecond
 )
 
-// ProxyConfig is where a proxy finds its configuration and where it serves. A file or address that is "" is not configured, and
-// the proxy goes without what it is for.
+// ProxyConfig holds the addresses of a proxy and the paths of its configuration files. The feature that belongs to an empty path
+// or address is disabled.
 type ProxyConfig struct {
 	Name, Listen, Discovery string
 
 	ConfigFile        string
-	AdminAddress      string // where it serves operators' calls
+	AdminAddress      string // listen address of the admin server
 	GossipFile        string
 	StateDir          string
 	NegativeCacheFile string
 	RebalanceFile     string
 	DutiesFile        string
 	ZoneHealthFile    string
-	Dir               string // for its log and temporary files
-	FaultPage         string // by which its system calls are made to fail
+	Dir               string // directory for the log and temporary files
+	FaultPage         string // file through which faults are injected into system calls
 }
 
-// Proxy is a running proxy.
+// Proxy is a proxy that was started.
 type Proxy interface {
 	Signal(s os.Signal)
 	Kill()
-	Done() <-chan error // closed, or sent to, once it has ended
+	Done() <-chan error // closed or sent to once the proxy has ended
 }
 
-// StartFunc starts a proxy: a process or, in tests, one in the same process.
+// StartFunc starts a proxy, either as a process or, in tests, within the test process.
 type StartFunc func(s ProxyConfig) (Proxy, error)
 
-// managedProxy is a proxy whose processes the runner starts and ends.
+// managedProxy is a proxy whose processes are started and ended by the runner.
 type managedProxy struct {
 	config ProxyConfig
 
 	mu      sync.Mutex
 	current *incarnation
-	running bool // a process of it runs or is being started
+	running bool // a process is running or being started
 
-	crowds          atomic.Int32 // of clients that say nothing and take its descriptors
+	crowds          atomic.Int32 // number of present crowds of idle clients, which occupy descriptors
 	peakMemoryMB    float64
 	peakDescriptors int
 }
 
-// startProxies configures all proxies and starts them. Where they gossip, it waits until they have found each other and each has
-// its whole quota.
+// startProxies configures and starts all proxies. If they gossip, it also waits for the time in which they find each other and
+// reach their complete quotas.
 func (r *runner) startProxies(ctx context.Context) error {
 	d := r.plan.Scenario
 	r.load = newLoadGenerator(r.plan, r.log, r.cluster)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// configureProxies chooses the proxies' addresses and writes their files.
+// configureProxies reserves the addresses of the proxies and writes their files.
 func (r *runner) configureProxies() error {
 	if r.plan.Scenario.Gossip.On {
 		r.addressPrefix, r.proxyByIP = nextAddressPrefix(), map[string]string{}
@@ -109,8 +109,9 @@
 	return r.writeGossipConfigs()
 }
 
-// reservePort returns an address with a free port that this run has given to nobody yet: one that is free again may be the
-// next one's, and of two processes that share it either fails to start or each gets a part of the other's clients.
+// reservePort returns an address with a free port that this run has not returned before. A port that becomes free again could
+// otherwise be assigned twice, and of two processes with the same port either one fails to start or each receives part of the
+// other's clients.
 func (r *runner) reservePort(ip string) (string, error) {
 	for {
 		address, err := freePort(ip)
@@ -127,7 +128,7 @@
 	}
 }
 
-// configureProxy writes the files of one proxy.
+// configureProxy writes the configuration files of one proxy and adds it to the run.
 func (r *runner) configureProxy(i int, address string) error {
 	dir, err := filepath.Abs(filepath.Join(r.options.Dir, fmt.Sprintf("proxy%d", i)))
 	if err != nil {
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// configureFeatures writes the files of what a proxy does besides routing.
+// configureFeatures sets the addresses and writes the files of a proxy's optional features.
 func (r *runner) configureFeatures(i int, m *managedProxy) error {
 	d := r.plan.Scenario
 	if d.Gossip.On {
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// configFileContent returns what a proxy's configuration file holds.
+// configFileContent returns the content of a proxy's configuration file.
 func (r *runner) configFileContent(i int, config ProxyConfig) map[string]any {
 	limits := r.plan.Scenario.Limits
 	file := map[string]any{
@@ -203,7 +204,7 @@
 	return file
 }
 
-// proxySettings returns the platform's settings for a proxy, with the overrides laid over them.
+// proxySettings returns the settings of a proxy, with Options.Overrides applied.
 func (r *runner) proxySettings(i int) map[string]any {
 	d := r.plan.Scenario
 	settings := map[string]any{
@@ -227,7 +228,7 @@
 	return settings
 }
 
-// routeSettings returns the settings of routes.
+// routeSettings returns the routes in the form of the proxy's settings.
 func routeSettings(routes []Route) []any {
 	var all []any
 	for _, route := range routes {
@@ -246,7 +247,7 @@
 	return all
 }
 
-// setByPath sets a value at a path whose steps are separated by dots.
+// setByPath sets a value at a path of keys separated by dots. Missing intermediate maps are created.
 func setByPath(settings map[string]any, path string, v any) {
 	for i := range path {
 		if path[i] != '.' {
--- a/internal/emulator/proxy_faults.go
+++ b/internal/emulator/proxy_faults.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// pauseProxies stops proxy processes by a signal, and continues them after a time.
+// pauseProxies stops proxy processes with SIGSTOP and continues them after the duration.
 func (r *runner) pauseProxies(ctx context.Context, proxies []int, duration time.Duration) {
 	for _, i := range proxies {
 		r.currentProcess(i).Signal(syscall.SIGSTOP)
@@ -23,7 +23,7 @@
 	}
 }
 
-// currentProcess returns a proxy's latest process.
+// currentProcess returns the latest process of a proxy.
 func (r *runner) currentProcess(i int) *incarnation {
 	m := r.proxies[i]
 	m.mu.Lock()
@@ -31,7 +31,8 @@
 	return m.current
 }
 
-// killProxies kills proxies at one moment. After a downtime it calls beforeRestart and starts them again, spread over a time.
+// killProxies kills proxies simultaneously. After the downtime it calls beforeRestart and restarts the proxies at even intervals
+// over the spread.
 func (r *runner) killProxies(ctx context.Context, proxies []int, downtime, spread time.Duration, beforeRestart func()) {
 	var kills sync.WaitGroup
 	for _, i := range proxies {
@@ -46,15 +47,16 @@
 	for k, i := range proxies {
 		starts.Go(func() {
 			if sleep(ctx, spread*time.Duration(k)/time.Duration(len(proxies))) {
-				_ = r.startProxy(ctx, i) // a process that ends at its start is recorded as crashed
+				_ = r.startProxy(ctx, i) // the crash of a process during its start is recorded elsewhere
 			}
 		})
 	}
 	starts.Wait()
 }
 
-// loseZone takes a zone's proxies and caches away, and brings them back after a time. Where the fault is not dead they are silent:
-// machines that vanished refuse nothing.
+// loseZone kills the proxies of a zone and makes its caches unavailable, and restores both after the duration. With
+// event.Refuses, the caches are stopped and refuse connections. Otherwise their links are severed, because lost machines do not
+// respond at all.
 func (r *runner) loseZone(ctx context.Context, event FaultEvent, duration time.Duration) {
 	nodes, affected := r.nodesInZone(event.Zone), r.affectedNames(event)
 	heal := func() {}
--- a/internal/emulator/proxy_process.go
+++ b/internal/emulator/proxy_process.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	// readyTimeout is how long a proxy may take from its start until it answers clients.
-	readyTimeout      = 10 * time.Second
+	// readyTimeout is the maximum time from the start of a proxy until it replies to clients.
+	readyTimeout = 10 * time.Second
+	// readinessInterval is the interval at which readiness is polled.
 	readinessInterval = 10 * time.Millisecond
-	// A proxy that was told to end is killed once the longest overall timeout, maxDrainTimeout at most, and drainSlack are
-	// over: the earliest that the operators' page allows.
+	// A draining proxy is killed after the longest overall timeout, limited to maxDrainTimeout, plus drainSlack. This is the
+	// earliest time that the operators' documentation permits.
 	maxDrainTimeout = 3 * time.Second
 	drainSlack      = 700 * time.Millisecond
 )
 
-// incarnation is one process of a proxy. The note on its end is its own, or one that was told to end could pass for crashed once
-// the next has begun.
+// incarnation is one process of a proxy. The reason for its end is stored per process: stored per proxy, it would be overwritten
+// by the next process, and a process that was ended on purpose could be reported as crashed.
 type incarnation struct {
 	Proxy
-	endNote string        // "": it crashed; guarded by the managed proxy's mu
+	endNote string        // reason for the end, "" for a crash; guarded by managedProxy.mu
 	exited  chan struct{} // closed once the process has ended
-	ended   chan struct{} // closed once its end is recorded, and another may be started
+	ended   chan struct{} // closed once the end has been processed and another process may be started
 }
 
-// startProxy starts a proxy and waits until it serves. Where a process of it runs already it does nothing: two faults may kill one
-// proxy and each start it again, and the first process would never be told to end.
+// startProxy starts a proxy and waits until it serves. It does nothing if a process of the proxy is already running: two faults may
+// kill and restart the same proxy, and with two processes the first would never be ended.
 func (r *runner) startProxy(ctx context.Context, i int) error {
 	m := r.proxies[i]
 	m.mu.Lock()
@@ -67,10 +68,10 @@
 	return nil
 }
 
-// watchProcess waits for a process's end and records it.
+// watchProcess waits until a process has ended and records its end.
 func (r *runner) watchProcess(i int, process *incarnation) {
 	m := r.proxies[i]
-	<-process.Done() //nolint:errcheck // the exit status tells nothing that endNote does not
+	<-process.Done() //nolint:errcheck // endNote already contains the reason for the end
 	close(process.exited)
 	m.mu.Lock()
 	replaced := process.endNote == endReplaced
@@ -78,7 +79,7 @@
 	if !replaced {
 		r.load.available[i].Store(false)
 	}
-	if r.relays != nil && !r.network.isCutOff(proxyName(i)) { // over a severed link nobody learns of a refusal
+	if r.relays != nil && !r.network.isCutOff(proxyName(i)) { // over a severed link, peers can't observe refused connections
 		r.relays[i].refuse()
 	}
 	if p, ok := process.Proxy.(interface{ CPU() time.Duration }); ok {
@@ -95,11 +96,12 @@
 	r.log.Record(Event{Kind: ProcessEnded, Proxy: i, Note: note})
 }
 
-// awaitReady waits until a process answers clients, and lets them be sent to it.
+// awaitReady waits until a process replies to a ping and then marks the proxy as available to clients. It returns a StartError if
+// the process ends or does not reply within readyTimeout.
 func (r *runner) awaitReady(ctx context.Context, i int, process *incarnation) error {
 	config := r.proxies[i].config
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
-		if answersPing(config.Listen) {
+		if repliesToPing(config.Listen) {
 			r.load.available[i].Store(true)
 			return nil
 		}
@@ -116,49 +118,51 @@
 	return &StartError{ReadyRule, fmt.Sprintf("proxy %d does not serve", i)}
 }
 
-// StartError reports a proxy that does not come up, with the rule that this breaks.
+// StartError reports that a proxy did not start, with the invariant that this violates.
 type StartError struct {
 	Rule Rule
 	Text string
 }
 
+// Error returns the description of the failure.
 func (e *StartError) Error() string { return e.Text }
 
-// answersPing reports whether a proxy answers a ping at an address.
-func answersPing(address string) bool { return ping(address) == nil }
+// repliesToPing reports whether a proxy replies to a ping at an address.
+func repliesToPing(address string) bool { return ping(address) == nil }
 
-// ping asks a proxy at an address whether it answers.
+// ping sends PING to the proxy at an address. It returns an error unless the reply is PONG.
 func ping(address string) error {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // the answer has been read
+	defer func() { _ = conn.Close() }() // the reply has been read
 	if err := conn.SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
 		return err
 	}
 	if _, err := conn.Write(encodeCommand("PING")); err != nil {
 		return err
 	}
-	answer := make([]byte, len("+PONG"))
-	if _, err := conn.Read(answer); err != nil {
+	reply := make([]byte, len("+PONG"))
+	if _, err := conn.Read(reply); err != nil {
 		return err
 	}
-	if string(answer) != "+PONG" {
+	if string(reply) != "+PONG" {
 		return errNoPong
 	}
 	return nil
 }
 
-var errNoPong = errors.New("a ping is not answered with a pong")
+var errNoPong = errors.New("reply to PING is not PONG")
 
-// endProxy ends a proxy's process by a signal, or kills it where the signal is nil, and waits for its end. A note that is set is
-// kept.
+// endProxy ends the process of a proxy with a signal, or kills it if the signal is nil, and waits until it has ended. A process that
+// does not end within killDelay after the signal is killed. The note is stored as the reason for the end, unless the process has
+// one already and the signal is not nil.
 func (r *runner) endProxy(i int, signal os.Signal, note string) {
 	m := r.proxies[i]
 	m.mu.Lock()
 	process := m.current
-	if process != nil && (process.endNote == "" || signal == nil) { // a kill ends what a signal has begun
+	if process != nil && (process.endNote == "" || signal == nil) { // a kill overrides an earlier signal
 		process.endNote = note
 	}
 	m.mu.Unlock()
@@ -166,7 +170,7 @@
 		return
 	}
 	if signal == nil {
-		r.load.available[i].Store(false) // the clients' balancer learns of it at once
+		r.load.available[i].Store(false) // the load generator stops using the proxy immediately
 		process.Kill()
 	} else {
 		r.load.draining[i].Store(true)
@@ -183,7 +187,7 @@
 	<-process.ended
 }
 
-// killDelay is how long a proxy may take to end before it is killed.
+// killDelay returns the time that a proxy has to end after a signal before it is killed.
 func (d *Scenario) killDelay() time.Duration {
 	longest := 0.0
 	for _, route := range d.Routes {
@@ -192,10 +196,10 @@
 	return min(millis(longest), maxDrainTimeout) + drainSlack
 }
 
-// newConnsAfterSignal is for how long new connections go on coming to a proxy that was told to end.
+// newConnsAfterSignal is the time for which clients still open new connections to a proxy after it received the signal to end.
 const newConnsAfterSignal = 300 * time.Millisecond
 
-// stopNewConns has no new connections made to a proxy, unless another process serves there by now.
+// stopNewConns marks a proxy as unavailable to clients, unless another process has replaced the given one.
 func (r *runner) stopNewConns(i int, process *incarnation) {
 	m := r.proxies[i]
 	m.mu.Lock()
@@ -205,8 +209,8 @@
 	}
 }
 
-// StartProgram returns a Start that runs a program with its arguments for each proxy and appends its output to the file "log" in the
-// proxy's directory.
+// StartProgram returns a StartFunc that runs a program with arguments as a process and appends its output to the file "log" in the
+// directory of the proxy.
 func StartProgram(words ...string) StartFunc {
 	return func(s ProxyConfig) (Proxy, error) {
 		log, err := os.OpenFile(filepath.Join(s.Dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -217,13 +221,13 @@
 		command.Env = append(os.Environ(), s.environment()...)
 		command.Stdout, command.Stderr = log, log
 		if err := command.Start(); err != nil {
-			_ = log.Close() // nothing was written to it
+			_ = log.Close() // nothing was written
 			return nil, err
 		}
 		done := make(chan error, 1)
-		go func() { // it ends with the process
+		go func() { // ends with the process
 			err := command.Wait()
-			_ = log.Close() // the process wrote to it, by a descriptor of its own
+			_ = log.Close() // the process wrote through its own descriptor
 			done <- err
 			close(done)
 		}()
@@ -231,7 +235,7 @@
 	}
 }
 
-// environment returns the environment variables by which a proxy finds its configuration.
+// environment returns the environment variables that configure a proxy.
 func (s ProxyConfig) environment() []string {
 	env := []string{
 		"GW_CONFIG=" + s.ConfigFile, "GW_NAME=" + s.Name, "GW_LISTEN=" + s.Listen, "GW_DISCOVERY=" + s.Discovery,
@@ -262,19 +266,19 @@
 	done    chan error
 }
 
-// Signal sends a signal; a process that has ended misses it.
+// Signal sends a signal. It does nothing if the process has ended.
 func (p osProcess) Signal(s os.Signal) { _ = p.command.Process.Signal(s) }
 
-// Kill kills the process, unless it has ended.
+// Kill kills the process. It does nothing if the process has ended.
 func (p osProcess) Kill() { _ = p.command.Process.Kill() }
 
-// Done returns a channel that is sent to, and then closed, once the process has ended.
+// Done returns a channel that receives the result of the process and is closed once the process has ended.
 func (p osProcess) Done() <-chan error { return p.done }
 
-// PID returns the number of the process.
+// PID returns the ID of the process.
 func (p osProcess) PID() int { return p.command.Process.Pid }
 
-// CPU returns the processor time of the process once it has ended, 0 before.
+// CPU returns the processor time that the process has used, or 0 if it has not ended.
 func (p osProcess) CPU() time.Duration {
 	if s := p.command.ProcessState; s != nil {
 		return s.UserTime() + s.SystemTime()
