--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// relayStreamTimeout ends a relayed stream, or one over a link that never heals would stay.
+// relayStreamTimeout is the maximum time that bytes of a relayed stream may wait for a link, counted from the start of the stream.
+// Without it, a stream over a link that stays severed would never end.
 const relayStreamTimeout = time.Minute
 
 const (
-	streamBufferSize   = 16 << 10
-	datagramBufferSize = 64 << 10
+	streamBufferSize   = 16 << 10 // bytes
+	datagramBufferSize = 64 << 10 // bytes
 )
 
-// relay is the address at which a proxy's peers reach it: it forwards what comes there, over TCP and UDP, over the proxy's links.
-// It tells the sender by the source address, since each proxy has an IP address of its own.
+// relay forwards the TCP and UDP traffic from a proxy's peers to the proxy, over the simulated links between them. It identifies the
+// sender by the source IP address, which is different for each proxy.
 type relay struct {
 	network       *network
-	name          string // of the proxy
-	listenAddress string
-	targetAddress string // where the proxy listens
-	proxyByIP     map[string]string
+	name          string            // of the proxy
+	listenAddress string            // address that the proxy advertises to its peers
+	targetAddress string            // where the proxy listens
+	proxyByIP     map[string]string // names of proxies by IP address
 	udp           net.PacketConn
 	datagrams     sync.WaitGroup
 
@@ -35,7 +36,7 @@
 	ended    bool
 }
 
-// newRelay returns a relay that forwards.
+// newRelay starts a relay.
 func newRelay(links *network, name, listenAddress, targetAddress string, proxyByIP map[string]string) (*relay, error) {
 	r := &relay{
 		network: links, name: name, listenAddress: listenAddress, targetAddress: targetAddress, proxyByIP: proxyByIP,
@@ -49,7 +50,7 @@
 	return r, r.listen()
 }
 
-// senderName returns the name of the proxy with an address, "" where there is none.
+// senderName returns the name of the proxy with an address, "" if there is none.
 func (r *relay) senderName(a net.Addr) string {
 	host, _, err := net.SplitHostPort(a.String())
 	if err != nil {
@@ -58,7 +59,8 @@
 	return r.proxyByIP[host]
 }
 
-// listen accepts connections until they are refused or the relay is shut down.
+// listen starts to accept connections, until refuse or shutdown is called. It does nothing if the relay accepts connections already
+// or has been shut down.
 func (r *relay) listen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +72,7 @@
 		return err
 	}
 	r.listener = listener
-	go func() { // it ends as the listener is closed
+	go func() { // ends when the listener is closed
 		for {
 			c, err := listener.Accept()
 			if err != nil {
@@ -82,37 +84,37 @@
 	return nil
 }
 
-// refuse closes all streams and refuses connections, as a machine does whose process has ended.
+// refuse closes all streams and refuses connections, like a machine on which the process has ended.
 func (r *relay) refuse() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.listener != nil {
-		_ = r.listener.Close() // refuses from now on in any case
+		_ = r.listener.Close() // an error changes nothing: connections are refused from now on
 		r.listener = nil
 	}
 	for c := range r.conns {
-		_ = c.Close() // its own goroutine may have closed it
+		_ = c.Close() // the forwarding goroutine may have closed it
 	}
 }
 
-// shutdown ends the relay for good.
+// shutdown ends the relay permanently and waits until datagrams are no longer forwarded.
 func (r *relay) shutdown() {
 	r.refuse()
 	r.mu.Lock()
 	r.ended = true
 	r.mu.Unlock()
-	_ = r.udp.Close() // only ends forwardDatagrams
+	_ = r.udp.Close() // ends forwardDatagrams
 	r.datagrams.Wait()
 }
 
-// forwardStream forwards a connection's bytes in both directions until both have ended.
+// forwardStream forwards the bytes of a connection in both directions until both directions have ended.
 func (r *relay) forwardStream(in net.Conn) {
 	from := r.senderName(in.RemoteAddr())
 	r.mu.Lock()
 	r.conns[in] = struct{}{}
 	r.mu.Unlock()
 	defer func() {
-		_ = in.Close() // all that could be forwarded was
+		_ = in.Close() // forwarding has ended
 		r.mu.Lock()
 		delete(r.conns, in)
 		r.mu.Unlock()
@@ -126,14 +128,14 @@
 	if err != nil {
 		return
 	}
-	defer func() { _ = out.Close() }() // all that could be forwarded was
+	defer func() { _ = out.Close() }() // forwarding has ended
 	var directions sync.WaitGroup
 	directions.Go(func() { r.forwardDirection(out, in, from, r.name, expired) })
 	directions.Go(func() { r.forwardDirection(in, out, r.name, from, expired) })
 	directions.Wait()
 }
 
-// forwardDirection forwards the bytes of one direction until its end, which it passes on, or an error.
+// forwardDirection forwards the bytes of one direction until an error or the end of the stream. The end is forwarded as well.
 func (r *relay) forwardDirection(dst, src net.Conn, from, to string, expired <-chan struct{}) {
 	buffer := make([]byte, streamBufferSize)
 	for {
@@ -148,7 +150,7 @@
 		}
 		if errors.Is(err, io.EOF) {
 			if tcp, ok := dst.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // the receiver may have ended before
+				_ = tcp.CloseWrite() // the receiver may have closed the connection
 			}
 			return
 		}
@@ -158,13 +160,14 @@
 	}
 }
 
-// forwardDatagrams forwards datagrams, with the loss, duplication and delay of the sender's link, until the relay is shut down.
+// forwardDatagrams forwards datagrams until the relay is shut down. It applies the loss, duplication and delay of the link from the
+// sender.
 func (r *relay) forwardDatagrams() {
 	target, err := net.ResolveUDPAddr("udp", r.targetAddress)
 	if err != nil {
 		return
 	}
-	// a datagram that can't be sent, as while the proxy is down, is lost
+	// errors are ignored: while the proxy is down, datagrams are lost
 	send := func(datagram []byte) { _, _ = r.udp.WriteTo(datagram, target) }
 	buffer := make([]byte, datagramBufferSize)
 	for {
@@ -173,10 +176,10 @@
 			return
 		}
 		if err != nil {
-			continue // the proxy refused an earlier one while it was down
+			continue // reports that an earlier datagram was refused while the proxy was down
 		}
 		state, _ := r.network.linkState(r.senderName(sender), r.name)
-		for range r.copies(state) {
+		for range r.deliveryCount(state) {
 			if state.maxDelay == 0 {
 				send(buffer[:n])
 				continue
@@ -187,8 +190,8 @@
 	}
 }
 
-// copies draws how often a datagram arrives.
-func (r *relay) copies(state linkFault) int {
+// deliveryCount draws the number of times that a datagram is delivered: 0, 1 or 2.
+func (r *relay) deliveryCount(state linkFault) int {
 	switch {
 	case state.lossRate > 0 && r.network.randomFloat() < state.lossRate:
 		return 0
@@ -199,7 +202,7 @@
 	}
 }
 
-// freePort returns an address with a port that is free for both TCP and UDP.
+// freePort returns an address at an IP address with a port that is free for both TCP and UDP.
 func freePort(ip string) (string, error) {
 	const attempts = 50
 	for range attempts {
