--- a/internal/emulator/process_history.go
+++ b/internal/emulator/process_history.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// processHistory is when proxy processes were killed, paused and crowded.
+// processHistory records when proxy processes were killed, paused and crowded. Times count from the start of the event log.
 type processHistory struct {
-	excused map[int]float64         // by proxy, broken invariants that it logged and a pause explains
-	crowds  map[int][]time.Duration // by proxy, the begins and ends in turn
-	kills   map[int][]time.Duration // by proxy; one that was told to end has to answer first, and counts as running
-	pauses  map[int][]time.Duration // by proxy, the begins and ends in turn
+	excused map[int]float64         // by proxy, the number of violations in its log that a pause explains
+	crowds  map[int][]time.Duration // by proxy, begins and ends alternately
+	kills   map[int][]time.Duration // by proxy; graceful ends are left out, since a draining process must still reply
+	pauses  map[int][]time.Duration // by proxy, begins and ends alternately
 }
 
-// newProcessHistory collects the history before the events are checked, since connections are seen to end before their process is.
+// newProcessHistory collects the history from all events. This happens before events are checked, because the end of a connection
+// is recorded before the end of its process.
 func newProcessHistory(events []Event) *processHistory {
 	h := &processHistory{excused: map[int]float64{}, crowds: map[int][]time.Duration{}, kills: map[int][]time.Duration{}, pauses: map[int][]time.Duration{}}
-	crowds := map[int]int{} // by proxy, how many are there
+	crowds := map[int]int{} // by proxy, the number of present crowds
 	for _, e := range events {
 		switch {
 		case e.Kind == ProcessPaused:
@@ -32,7 +33,8 @@
 	return h
 }
 
-// observeCrowd notes when the first crowd has come to a proxy and the last one has left it.
+// observeCrowd records the times at which the first crowd arrives at a proxy and the last one leaves. It updates the number of
+// present crowds.
 func (h *processHistory) observeCrowd(e Event, crowds map[int]int) {
 	change, others := 1, crowds[e.Proxy]
 	if e.Note == crowdEnds {
@@ -44,18 +46,19 @@
 	}
 }
 
-// wasPaused reports whether a proxy was paused at some time within a span: it could answer nothing then.
+// wasPaused reports whether a proxy was paused at any time within a span. A paused proxy can't reply.
 func (h *processHistory) wasPaused(proxy int, from, to time.Duration) bool {
 	return overlapsSpans(h.pauses[proxy], from, to)
 }
 
-// wasCrowded reports whether clients that say nothing took a proxy's descriptors at some time within a span: new
-// connections may be closed unread then.
+// wasCrowded reports whether idle clients occupied the descriptors of a proxy at any time within a span. The proxy may then close
+// new connections without reading from them.
 func (h *processHistory) wasCrowded(proxy int, from, to time.Duration) bool {
 	return overlapsSpans(h.crowds[proxy], from, to)
 }
 
-// overlapsSpans reports whether one of some spans, given by their begins and ends in turn, overlaps another one.
+// overlapsSpans reports whether any of the spans, given by alternating begins and ends, overlaps the span between from and to. The
+// last span may lack an end.
 func overlapsSpans(spans []time.Duration, from, to time.Duration) bool {
 	for i := 0; i < len(spans); i += 2 {
 		if spans[i] <= to && (i+1 == len(spans) || spans[i+1] >= from) {
@@ -65,7 +68,7 @@
 	return false
 }
 
-// wasKilled reports whether a proxy was killed within a span: what it held then is lost.
+// wasKilled reports whether a proxy was killed within a span. A kill loses everything that the process held.
 func (h *processHistory) wasKilled(proxy int, from, to time.Duration) bool {
 	return slices.ContainsFunc(h.kills[proxy], func(at time.Duration) bool { return at >= from && at <= to })
 }
--- a/internal/emulator/reload_faults.go
+++ b/internal/emulator/reload_faults.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// signalSpacing lies between the signals of a row, so that the system joins none.
+// signalSpacing is the time between consecutive signals. Without it, the kernel could merge pending signals of the same kind.
 const signalSpacing = 20 * time.Millisecond
 
-// injectReloads has proxies read their configuration: half of it, and then with discovery at another address, by several
-// signals in a row. The agent at the old address takes no further watch and closes the open ones a little later.
+// injectReloads makes proxies reload their configuration several times in a row: first from a truncated file, then with another
+// discovery address. The old address serves open watches for reloadGrace and is then closed.
 func (r *runner) injectReloads(ctx context.Context, fault activeFault) {
 	var reloads sync.WaitGroup
 	for _, i := range fault.Targets {
@@ -23,6 +23,7 @@
 	reloads.Wait()
 }
 
+// reloadProxy reloads the configuration of one proxy with another discovery address.
 func (r *runner) reloadProxy(ctx context.Context, i int) {
 	m, d := r.proxies[i], r.discoveries[i]
 	server, address, err := d.Listen("127.0.0.1")
@@ -48,7 +49,7 @@
 	r.closeOldServers(ctx, d, server)
 }
 
-// closeOldServers closes an agent's servers but for one, after a grace.
+// closeOldServers closes all servers of a discovery agent except the current one, after reloadGrace.
 func (r *runner) closeOldServers(ctx context.Context, d *Discovery, current *http.Server) {
 	sleep(ctx, reloadGrace)
 	d.mu.Lock()
@@ -57,12 +58,12 @@
 	d.mu.Unlock()
 	for _, server := range old {
 		if server != current {
-			_ = server.Close() // its watches end with it
+			_ = server.Close() // also ends its watches
 		}
 	}
 }
 
-// replaceFile replaces a file at once: a process that reads it gets the old content or the new.
+// replaceFile replaces the content of a file atomically: a process that reads it gets either the old or the new content.
 func replaceFile(path string, content []byte) error {
 	next := path + ".next"
 	if err := os.WriteFile(next, content, 0o600); err != nil {
@@ -71,7 +72,7 @@
 	return os.Rename(next, path)
 }
 
-// injectHotRestarts replaces proxy processes by successors that inherit their listeners, one after the other.
+// injectHotRestarts hot-restarts proxies one after the other. It stops at the first successor that does not become ready.
 func (r *runner) injectHotRestarts(ctx context.Context, fault activeFault) {
 	for _, i := range fault.Targets {
 		if ctx.Err() != nil || !r.hotRestart(ctx, i) {
@@ -80,8 +81,8 @@
 	}
 }
 
-// hotRestart starts a successor beside a running process, and ends that one once the successor is ready. It returns false
-// if the successor does not become ready.
+// hotRestart starts a successor beside the running process of a proxy and ends the predecessor once the successor is ready. It
+// returns false if the successor does not become ready. It does nothing if no process is running or the proxy has no admin server.
 func (r *runner) hotRestart(ctx context.Context, i int) bool {
 	m := r.proxies[i]
 	m.mu.Lock()
@@ -110,7 +111,7 @@
 		<-process.Done() //nolint:errcheck // it was killed
 		return false
 	}
-	if !m.succeed(old, successor, address) {
+	if !m.adoptSuccessor(old, successor, address) {
 		process.Kill()
 		<-process.Done() //nolint:errcheck // it was killed
 		return true
@@ -125,9 +126,9 @@
 	return true
 }
 
-// succeed makes a successor the proxy's process, unless the one that it was to replace has ended, been told to
-// end or been replaced meanwhile: another may be starting then.
-func (m *managedProxy) succeed(old, successor *incarnation, address string) bool {
+// adoptSuccessor makes the successor the current process of the proxy and reports whether it did. It refuses if the predecessor has
+// ended, has been signaled to end or has been replaced meanwhile, because another process may be starting in that case.
+func (m *managedProxy) adoptSuccessor(old, successor *incarnation, address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	select {
@@ -142,12 +143,13 @@
 	return true
 }
 
-// awaitAdminReady waits until a process says at its address for operators that it is ready.
+// awaitAdminReady waits until the readiness endpoint of the admin server reports ready. It returns false on timeout or if the context
+// ends.
 func (r *runner) awaitAdminReady(ctx context.Context, address string, timeout time.Duration) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		response, err := http.Get("http://" + address + "/control/ready")
 		if err == nil {
-			_ = response.Body.Close() // the status says all
+			_ = response.Body.Close() // only the status code is used
 			if response.StatusCode/100 == 2 {
 				return true
 			}
