--- a/internal/emulator/recovery.go
+++ b/internal/emulator/recovery.go
@@ -4,20 +4,21 @@
 	"time"
 )
 
-// recoveredPart is the part of the earlier in-time service from which on service counts as recovered.
-const recoveredPart = 0.95
+// recoveredFraction is the fraction of the in-time service before the kill that service must reach to count as recovered.
+const recoveredFraction = 0.95
 
-// RecoveryResult is how service recovered after many proxies were killed at once. Times count from the kill.
+// RecoveryResult describes the recovery of service after many proxies were killed at once. Times count from the kill, except At.
 type RecoveryResult struct {
-	At                   time.Duration // from the scenario's start
-	Killed               int
-	AllStarted           time.Duration // until the last proxy was started again
-	Recovered            time.Duration // until the first second from which on in-time service stays over 95% of what it was before
-	InTimeBefore         float64       // part of the requests that were answered in time before the kill
-	InTimeUntilRecovered float64       // the same from the kill until service was full again
+	At                   time.Duration // time of the kill, from the start of the scenario
+	Killed               int           // number of proxies killed
+	AllStarted           time.Duration // until the last proxy is due to restart
+	Recovered            time.Duration // until in-time service stays at 95% or more of InTimeBefore, in whole seconds
+	InTimeBefore         float64       // fraction of requests that received a reply in time before the kill
+	InTimeUntilRecovered float64       // the same fraction from the kill until Recovered, for at least one second
 }
 
-// measureRecoveries looks at each mass kill: seconds are counted up to the next fault that begins later, or the end.
+// measureRecoveries calculates the recovery from each mass kill. Service is measured second by second until the next fault that
+// begins after the restarts, or until the end of the scenario.
 func (r *runner) measureRecoveries() (recoveries []RecoveryResult) {
 	for _, event := range r.plan.Faults {
 		if event.Kind != "mass-kill" {
@@ -34,20 +35,20 @@
 				end = later
 			}
 		}
-		recovery.InTimeBefore = r.inTimePart(0, at)
+		recovery.InTimeBefore = r.inTimeFraction(0, at)
 		for from := at; from+time.Second <= end; from += time.Second {
-			if r.inTimePart(from, from+time.Second) < recoveredPart*recovery.InTimeBefore {
+			if r.inTimeFraction(from, from+time.Second) < recoveredFraction*recovery.InTimeBefore {
 				recovery.Recovered = from + time.Second - at
 			}
 		}
-		recovery.InTimeUntilRecovered = r.inTimePart(at, at+max(recovery.Recovered, time.Second))
+		recovery.InTimeUntilRecovered = r.inTimeFraction(at, at+max(recovery.Recovered, time.Second))
 		recoveries = append(recoveries, recovery)
 	}
 	return recoveries
 }
 
-// inTimePart is the part of the requests due within a span that were answered in time; 1 where there were none.
-func (r *runner) inTimePart(from, to time.Duration) float64 {
+// inTimeFraction returns the fraction of the requests due within a span that received a reply in time, 1 if there were no requests.
+func (r *runner) inTimeFraction(from, to time.Duration) float64 {
 	sum, inTime := r.sumInTime(from, to, func(Route) float64 { return 1 })
 	if sum == 0 {
 		return 1
@@ -55,14 +56,15 @@
 	return inTime / sum
 }
 
-// earnedValuePart is the part of the value of the requests due within a span that was earned by answers in time; 0 where there
-// were none.
-func (r *runner) earnedValuePart(from, to time.Duration) float64 {
+// earnedWeightFraction returns the fraction of the priority weight of the requests due within a span that was earned by replies in time,
+// 0 if there were no requests.
+func (r *runner) earnedWeightFraction(from, to time.Duration) float64 {
 	sum, earned := r.sumInTime(from, to, func(route Route) float64 { return route.Weight })
 	return earned / max(sum, 1e-9)
 }
 
-// sumInTime adds up the weights of the requests due within a span whose clients waited, and of those answered in time.
+// sumInTime returns the total weight of the requests due within a span, and the weight of those that received a reply in time.
+// Requests abandoned by their clients are left out.
 func (r *runner) sumInTime(from, to time.Duration, weight func(Route) float64) (sum, inTime float64) {
 	for _, result := range r.load.results {
 		if result.Request.At < from || result.Request.At >= to || result.Outcome == Abandoned {
--- a/internal/emulator/zone_faults.go
+++ b/internal/emulator/zone_faults.go
@@ -13,40 +13,40 @@
 	"time"
 )
 
-// zoneFaultGrace is how long after a zone fault's end a verdict may still come of it.
+// zoneFaultGrace is the time after the end of a zone fault in which a verdict is still attributed to it.
 const zoneFaultGrace = 2 * time.Second
 
-// Spans over which the earned part of the requests' value is measured: from a zone fault's begin, and from its end.
+// Spans over which the earned fraction of the requests' priority weight is measured, from the begin and the end of a zone fault.
 const (
 	valueSpanDuring = 5 * time.Second
 	valueSpanAfter  = 10 * time.Second
 )
 
-// ZoneFaultResult is the outcome of a zone fault. Times count from the fault's begin, or where stated from its end.
+// ZoneFaultResult is the outcome of a zone fault. Times count from the begin of the fault unless stated otherwise.
 type ZoneFaultResult struct {
 	Zone                string
-	At, Duration        time.Duration // begin, from the event log's start, and duration
-	FirstLeft, LastLeft time.Duration // until the first and the last proxy outside the zone had left it; 0: none had
-	NeverLeft           int           // proxies outside the zone that never left it
-	Returned            time.Duration // from the fault's end until the last proxy served all of its keys there; 0: it was not seen
-	ValueDuring         float64       // part of the requests' value that was earned in the first five seconds of the fault
-	ValueAfter          float64       // the same in the ten seconds after its end
+	At, Duration        time.Duration // begin, from the start of the event log, and duration
+	FirstLeft, LastLeft time.Duration // until the first and the last proxy outside the zone had evacuated it; 0: none had
+	NeverLeft           int           // number of proxies outside the zone that did not evacuate it during the fault
+	Returned            time.Duration // from the end of the fault until the last proxy served all of its keys there again; 0: not observed
+	ValueDuring         float64       // fraction of the requests' priority weight earned in the first five seconds of the fault
+	ValueAfter          float64       // the same fraction in the ten seconds after the end of the fault
 }
 
-// zoneFault is a fault of a whole zone, by the wall clock.
+// zoneFault is a fault of a complete zone, in wall-clock time.
 type zoneFault struct {
 	zone          string
 	from, to      time.Time    // to is zero while the fault lasts
 	proxiesInside map[int]bool // proxies that are in the zone
-	harmless      bool         // it is no reason to leave the zone
+	harmless      bool         // the fault does not justify an evacuation
 }
 
-// explains reports whether a verdict at a moment may come of the fault.
+// explains reports whether a verdict at the given time may be caused by the fault.
 func (f *zoneFault) explains(at time.Time) bool {
 	return !f.harmless && at.After(f.from) && (f.to.IsZero() || at.Before(f.to.Add(zoneFaultGrace)))
 }
 
-// writeZoneConfig writes a proxy's zone health file.
+// writeZoneConfig writes the zone health file of a proxy, unless zone health is off.
 func (r *runner) writeZoneConfig(m *managedProxy) error {
 	zones := r.plan.Scenario.ZoneHealth
 	if zones.Decision == "" {
@@ -66,7 +66,8 @@
 	return os.WriteFile(m.config.ZoneHealthFile, []byte(text), 0o600)
 }
 
-// zoneFaultBegins records that a fault affects a zone, if it does. Operators who are to be told order the zone out at once.
+// zoneFaultBegins records the begin of a fault if it affects a zone. Where operators judge zones, it immediately sets the override
+// "out".
 func (r *runner) zoneFaultBegins(event FaultEvent) {
 	if event.Zone == "" {
 		return
@@ -78,10 +79,11 @@
 	r.mu.Lock()
 	r.zoneFaults = append(r.zoneFaults, fault)
 	r.mu.Unlock()
-	r.orderZone(event, "out")
+	r.overrideZone(event, "out")
 }
 
-// zoneFaultEnds records that a fault no longer affects a zone. Operators who are to be told withdraw their order at once.
+// zoneFaultEnds records the end of a fault if it affects a zone. Where operators judge zones, it immediately sets the override
+// "auto".
 func (r *runner) zoneFaultEnds(event FaultEvent) {
 	if event.Zone == "" {
 		return
@@ -93,11 +95,12 @@
 		}
 	}
 	r.mu.Unlock()
-	r.orderZone(event, "auto")
+	r.overrideZone(event, "auto")
 }
 
-// orderZone gives the operators' order for a zone to every proxy outside it, where operators judge zones.
-func (r *runner) orderZone(event FaultEvent, order string) {
+// overrideZone sends the override for a zone to every proxy outside it. It does nothing unless operators judge zones, or for faults
+// that do not justify an evacuation.
+func (r *runner) overrideZone(event FaultEvent, mode string) {
 	if r.plan.Scenario.ZoneHealth.Decision != zonesJudgedByOperators || event.Kind == "zone-grey" {
 		return
 	}
@@ -108,16 +111,16 @@
 		}
 		calls.Go(func() {
 			client := http.Client{Timeout: time.Second}
-			target := "http://" + m.config.AdminAddress + "/control/zones/" + url.PathEscape(event.Zone) + "/" + order
-			if response, err := client.Post(target, "", nil); err == nil { // a proxy that is down misses the order
-				_ = response.Body.Close() // nothing was read of it
+			target := "http://" + m.config.AdminAddress + "/control/zones/" + url.PathEscape(event.Zone) + "/" + mode
+			if response, err := client.Post(target, "", nil); err == nil { // a proxy that is down misses the override
+				_ = response.Body.Close() // only the delivery matters
 			}
 		})
 	}
 	calls.Wait()
 }
 
-// degradeZone makes a third of a zone's nodes slow and a part of the answers of all of them errors.
+// degradeZone slows down a third of the nodes in a zone and makes a fraction of the responses of all its nodes errors.
 func (r *runner) degradeZone(ctx context.Context, event FaultEvent, duration time.Duration) {
 	nodes := r.nodesInZone(event.Zone)
 	set := func(slowdown, errorPart float64) {
@@ -139,7 +142,7 @@
 	r.zoneFaultEnds(event)
 }
 
-// zoneShift is a proxy's log line on which part of its keys in a zone it serves there.
+// zoneShift is a log line in which a proxy reports the fraction of a zone's keys that it serves from that zone.
 type zoneShift struct {
 	proxy  int
 	zone   string
@@ -147,7 +150,8 @@
 	served float64
 }
 
-// measureZoneHealth reads from the proxies' logs when each left a zone that was affected, and returned to it.
+// measureZoneHealth adds to the report the outcome of each zone fault and the number of verdicts that no fault explains, both from
+// the logs of the proxies.
 func (r *runner) measureZoneHealth(report *Report) {
 	var shifts []zoneShift
 	r.eachLogLine(func(proxy int, line logLine) {
@@ -168,7 +172,7 @@
 	}
 }
 
-// countFalsePositive counts a verdict on a zone that no fault explains.
+// countFalsePositive counts a verdict on a zone in the report if no fault explains it.
 func (r *runner) countFalsePositive(report *Report, proxy int, zone, verdict string, at time.Time) {
 	if strings.HasPrefix(verdict, verdictStandalone) && !r.hasCause(proxy, zone, at) {
 		report.FalsePositives++
@@ -180,7 +184,7 @@
 	}
 }
 
-// zoneFaultResult calculates a fault's outcome from the proxies' shifts, which are in order for each proxy.
+// zoneFaultResult calculates the outcome of a fault from the shifts of all proxies, which must be ordered by time for each proxy.
 func (r *runner) zoneFaultResult(fault zoneFault, shifts []zoneShift) ZoneFaultResult {
 	result := ZoneFaultResult{Zone: fault.zone, At: fault.from.Sub(r.log.start)}
 	to := fault.to
@@ -210,16 +214,17 @@
 			result.NeverLeft++
 		}
 		if part, ok := served[i]; ok && part < 1 {
-			result.Returned = 0 // this proxy has not returned wholly
+			result.Returned = 0 // this proxy does not serve all of its keys there
 		}
 	}
 	start := r.load.start
-	result.ValueDuring = r.earnedValuePart(fault.from.Sub(start), fault.from.Add(valueSpanDuring).Sub(start))
-	result.ValueAfter = r.earnedValuePart(to.Sub(start), to.Add(valueSpanAfter).Sub(start))
+	result.ValueDuring = r.earnedWeightFraction(fault.from.Sub(start), fault.from.Add(valueSpanDuring).Sub(start))
+	result.ValueAfter = r.earnedWeightFraction(to.Sub(start), to.Add(valueSpanAfter).Sub(start))
 	return result
 }
 
-// hasCause reports whether a proxy may find a zone unreachable at a moment: a fault affected the zone, or the proxy's own.
+// hasCause reports whether a fault explains that a proxy finds a zone unreachable at the given time: the fault affects that zone or
+// the zone of the proxy.
 func (r *runner) hasCause(proxy int, zone string, at time.Time) bool {
 	return slices.ContainsFunc(r.zoneFaults, func(f zoneFault) bool {
 		return f.explains(at) && (f.zone == zone || f.proxiesInside[proxy])
