--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -12,17 +12,17 @@
 	"woodproxy/internal/faultbuild"
 )
 
-// Options tell how a scenario is played.
+// Options configure a run of a scenario.
 type Options struct {
-	Start     StartFunc
-	Dir       string         // for files and logs, which are kept
-	IP        string         // loopback address of the proxies, one of the run's own where it is empty
-	Overrides map[string]any // proxy settings by path, whose steps are separated by dots
+	Start     StartFunc      // starts the proxies
+	Dir       string         // directory for configuration files and logs, which are kept
+	IP        string         // loopback address of the proxies; "": an address unique to the run
+	Overrides map[string]any // proxy settings by path, a list of keys separated by dots
 
-	FaultPages bool // the proxies were built by faultbuild, and each has a page of faults
+	FaultPages bool // the proxies were built by faultbuild; each gets a fault page
 }
 
-// runner plays one scenario.
+// runner runs one plan.
 type runner struct {
 	plan    *Plan
 	options Options
@@ -37,30 +37,30 @@
 
 	proxies         []*managedProxy
 	processWatchers sync.WaitGroup
-	proxyCPU        atomic.Int64 // nanoseconds of the processes that have ended
+	proxyCPU        atomic.Int64 // CPU time of the processes that have ended, in nanoseconds
 
-	addressPrefix string            // beginning of the IP addresses at which gossiping proxies reach each other
-	proxyByIP     map[string]string // proxies' names by these addresses
-	relays        []*relay          // by proxy; none where they do not gossip
+	addressPrefix string            // first three numbers of the IP addresses of gossiping proxies and their relays
+	proxyByIP     map[string]string // names of gossiping proxies by IP address
+	relays        []*relay          // by proxy; nil without gossip
 
-	unansweredBadClients atomic.Int64
-	bursts               atomic.Int64 // numbers the requests of clients that send many at once
+	unansweredBadClients atomic.Int64 // malformed requests without an error reply or a closed connection
+	bursts               atomic.Int64 // number of bursts so far; numbers the requests of bursts
 	backgroundLoad       backgroundSamples
-	faultPages           []*faultbuild.Page // by proxy; none where proxies have none
+	faultPages           []*faultbuild.Page // by proxy; nil without Options.FaultPages
 
 	mu            sync.Mutex
-	nodes         []*Node      // the caches; the length is fixed but for announceToOne
-	startedNodes  atomic.Int64 // caches and origins
+	nodes         []*Node      // the caches; only announceToOne changes the length
+	startedNodes  atomic.Int64 // number of caches and origins started
 	nextNode      int          // number of the next cache
 	announcements []announcement
 	zoneFaults    []zoneFault
-	reserved      map[string]bool // addresses that were given to a process
+	reserved      map[string]bool // addresses returned by reservePort
 }
 
-// Run plays a plan and returns what came of it. Whatever happens, no proxy process is left when it returns; where the context
-// ended before the scenario did, its files are removed as well.
+// Run runs a plan and returns its report. No proxy process is left when it returns, even after an error. If the context ends before
+// the scenario, Run removes Options.Dir and returns the error of the context.
 func Run(ctx context.Context, plan *Plan, options Options) (*Report, error) {
-	if options.IP == "" { // an address of the run's own: no outgoing connection of the machine takes a port there
+	if options.IP == "" { // unique to the run, so that outgoing connections of the machine take no ports there
 		options.IP = nextAddressPrefix() + "250"
 	}
 	log := NewEventLog()
@@ -70,7 +70,7 @@
 		r.stop()
 		r.closeFaultPages()
 		if ctx.Err() != nil {
-			_ = os.RemoveAll(options.Dir) // the context's error is what the caller gets
+			_ = os.RemoveAll(options.Dir) // the caller receives the error of the context
 		}
 	}()
 	if err := r.start(ctx); err != nil {
@@ -86,7 +86,7 @@
 	return r.buildReport(), nil
 }
 
-// start starts the backends, the proxies and the connections that clients hold.
+// start starts the backends and the proxies and opens the connections that clients hold.
 func (r *runner) start(ctx context.Context) error {
 	if err := r.plan.Scenario.checkDescriptors(); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	return r.load.openHeldConns()
 }
 
-// play runs the load and the faults until the scenario's end, or until the context ends, and waits for them.
+// play generates the load and injects the faults until the scenario or the context ends. It returns once both have stopped.
 func (r *runner) play(ctx context.Context) {
 	start := time.Now()
 	scenarioCtx, cancel := context.WithCancel(ctx)
@@ -122,15 +122,15 @@
 	background.Wait()
 }
 
-// spareDescriptors is how many file descriptors are needed besides those of connections.
+// spareDescriptors is the number of file descriptors needed in addition to those of connections.
 const spareDescriptors = 256
 
-// severedDescriptors is how many descriptors a listener whose link is severed takes for the connections that fill its
-// backlog, with both ends of each.
+// severedDescriptors is the number of descriptors needed to fill the backlog of a listener while its link is severed: both ends of
+// each filler connection.
 const severedDescriptors = 2 * fillersNeeded
 
-// checkDescriptors returns an error unless enough file descriptors may be open: a client's connection takes one in this process,
-// and one in its proxy, and each cache listens once for each proxy.
+// checkDescriptors returns an error if the limit on open file descriptors is too low for the scenario. A client connection takes one
+// descriptor in this process and one in its proxy, and each cache has one listener per proxy.
 func (d *Scenario) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -138,12 +138,12 @@
 	}
 	need := d.Proxies*(d.Load.Connections+d.Fleet.Nodes+d.severedNodes()*severedDescriptors) + spareDescriptors
 	if uint64(need) > limit.Cur {
-		return fmt.Errorf("load.connections, fleet.nodes or proxies: %d descriptors are needed, and %d may be open", need, limit.Cur)
+		return fmt.Errorf("load.connections, fleet.nodes or proxies: %d file descriptors are needed, the limit is %d", need, limit.Cur)
 	}
 	return nil
 }
 
-// severedNodes is how many caches may be cut off at a time.
+// severedNodes returns the maximum number of caches that may be cut off at the same time.
 func (d *Scenario) severedNodes() int {
 	nodes := 0
 	for _, fault := range d.Faults {
@@ -157,7 +157,7 @@
 	return nodes
 }
 
-// sleep reports whether it slept the whole duration, before the context ended.
+// sleep waits for the duration or until the context ends. It reports whether the complete duration has passed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -169,7 +169,7 @@
 	}
 }
 
-// stop ends the proxies, which may finish their requests, and then the backends. It may be called repeatedly.
+// stop ends the proxies gracefully and then stops the backends. It may be called repeatedly.
 func (r *runner) stop() {
 	var proxies sync.WaitGroup
 	for i := range r.proxies {
