--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -98,7 +98,7 @@
 	for i, z := range r.ZoneFaults {
 		left := z.NeverLeft == 0 && z.LastLeft < 3*time.Second && z.Returned > 0
 		if left != (i < 2) {
-			t.Errorf("zone fault %d: evacuated and returned to: %v, want %v: %+v", i, left, i < 2, z)
+			t.Errorf("unexpected outcome of a zone fault: %+v", z)
 		}
 	}
 	if completedFraction(r) < 0.9 {
@@ -145,7 +145,7 @@
 			text := withFaults(strings.Replace(calmScenario, "length_s = 2.0", "length_s = 10.0", 1), c.faults...)
 			got := countViolations(play(t, text, buildProgram(t)))
 			if broken := got[emulator.DrainRule] > 0; broken != c.broken || len(got) > 1 {
-				t.Errorf("got violations %v, want of the drain invariant: %v, and of no other", got, c.broken)
+				t.Errorf("unexpected violations by invariant: %v", got)
 			}
 		})
 	}
--- a/internal/emulator/process_group_test.go
+++ b/internal/emulator/process_group_test.go
@@ -113,7 +113,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	g.t.Fatalf("%s: timed out; got %q, want it to contain %q", what, text, want)
+	g.t.Fatalf("%s: timed out; last response: %s", what, text)
 }
 
 // containsAll reports whether a text contains all of the given texts.
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -14,7 +14,8 @@
 	"woodproxy/internal/emulator"
 )
 
-// A calm scenario, one with many faults at once, and that one with hedged attempts: no rule is broken, and clients are served.
+// A scenario without faults, one with many simultaneous faults, and the latter with hedging violate no invariant, and clients are
+// served.
 func TestDays(t *testing.T) {
 	t.Parallel()
 	faulty := withFaults(
@@ -41,13 +42,14 @@
 			r := playWithoutViolation(t, text, startInProcess)
 			outcomes := countOutcomes(r)
 			if len(r.Results) != len(r.Plan.Requests) || completedFraction(r) < least || outcomes[emulator.Unanswered] > 0 || r.UnansweredMalformed > 0 {
-				t.Errorf("%d asked, %v, %d bad clients without an end", len(r.Plan.Requests), outcomes, r.UnansweredMalformed)
+				t.Errorf("%d requests: %v; %d malformed requests without a reply", len(r.Plan.Requests), outcomes, r.UnansweredMalformed)
 			}
 		})
 	}
 }
 
-// A process that ends by itself breaks a rule and its log is kept; one that can't start ends the run with an error.
+// A process that ends unexpectedly violates the crash invariant and its log is kept. A process that can't start ends the run with an
+// error.
 func TestCrashIsReported(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -58,7 +60,7 @@
 		}
 		script, err := emulator.StartProgram("/bin/sh", "-c", "echo it dies; sleep 0.5; exit 3")(config)
 		if err == nil {
-			go func() { // the two are one: it serves until its process has ended
+			go func() { // stop serving once the script, which simulates the crash, has ended
 				awaitEnd(script)
 				p.Signal(syscall.SIGTERM)
 			}()
@@ -83,7 +85,8 @@
 	}
 }
 
-func TestCancelledRunLeavesNoProcessAndNoFile(t *testing.T) {
+// A run whose context is canceled ends promptly, stops its proxies and removes its files.
+func TestCanceledRunLeavesNoProcessAndNoFile(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	var alive atomic.Int64
@@ -104,7 +107,7 @@
 	plan := parseScenario(t, strings.Replace(calmScenario, "length_s = 2.0", "length_s = 60.0", 1)).NewPlan(1)
 	_, err := emulator.Run(ctx, plan, emulator.Options{Dir: dir, Start: counted})
 	if !errors.Is(err, context.Canceled) || time.Since(began) > 8*time.Second {
-		t.Errorf("%v after %v", err, time.Since(began))
+		t.Errorf("got error %v after %v, want cancellation within 8 s", err, time.Since(began))
 	}
 	if _, err := os.Stat(dir); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("files are left: %v", err)
@@ -115,9 +118,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Errorf("%d proxies left", alive.Load())
+	t.Errorf("%d proxies are still running", alive.Load())
 }
 
+// A scenario that needs more file descriptors than the limit permits is rejected before anything is started.
 func TestTooFewDescriptorsStartNothing(t *testing.T) {
 	scenario := parseScenario(t, strings.Replace(calmScenario, "rate = 150.0", "rate = 1.0, connections = 20000", 1))
 	scenario.Proxies = 1 << 16
@@ -127,11 +131,11 @@
 		t.Error(err)
 	}
 	if _, err := os.Stat(dir); err == nil {
-		t.Error("something was started")
+		t.Error("the directory of the run was created")
 	}
 }
 
-// Two faults that kill the same proxies and start them again leave one process of each, and the run ends.
+// If two faults kill and restart the same proxies, only one process of each proxy runs at a time, and none is left after the run.
 func TestOverlappingKillsLeaveOneProcess(t *testing.T) {
 	t.Parallel()
 	var running [2]atomic.Int64
@@ -142,7 +146,7 @@
 		}
 		n := &running[config.Name[1]-'0']
 		if n.Add(1) > 1 {
-			t.Errorf("two processes of %s", config.Name)
+			t.Errorf("two processes of %s run at the same time", config.Name)
 		}
 		done := make(chan error, 1)
 		go func() {
