--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -131,10 +131,10 @@
 	receivedAt     time.Time // of the last byte
 }
 
-// fetch processes a request at the origin. A read inserts the key into the caches that missed; a write invalidates the key in all
-// caches. A repeated write is not executed if it was received within the deduplication window of its idempotency key. The window
-// starts when the executed write was received, regardless of how long either write is queued. The error is errQueueFull or
-// errNoSuchKey.
+// fetch processes a request at the origin. A read inserts the key into the caches that missed; a write invalidates the key in
+// all caches. A repeated write is not executed if it was received within the deduplication window of its idempotency key. The
+// window starts when the executed write was received, regardless of how long either write is queued. The error is errQueueFull
+// or errNoSuchKey.
 func (c *cluster) fetch(n *Node, r originRequest) error {
 	if n.work == nil {
 		return nil
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -139,8 +139,8 @@
 	d.changed = make(chan struct{})
 }
 
-// assumeDelivered records rows as delivered because their delivery deadline has passed, whether or not a watch has received them.
-// Rows that a later version has replaced are skipped.
+// assumeDelivered records rows as delivered because their delivery deadline has passed, whether or not a watch has received
+// them. Rows that a later version has replaced are skipped.
 func (d *Discovery) assumeDelivered(rows []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,9 +156,9 @@
 	d.log.Record(Event{Kind: StatusDelivered, Proxy: d.Proxy, Node: row.Name, Note: row.Status})
 }
 
-// recordKnownAtStart records the endpoints that are not active when a proxy process starts. Their status counts as delivered from
-// the start of the process, whether or not a watch is open. If the agent does not serve watches at that time, the status counts
-// as delivered after deliveryDeadline instead.
+// recordKnownAtStart records the endpoints that are not active when a proxy process starts. Their status counts as delivered
+// from the start of the process, whether or not a watch is open. If the agent does not serve watches at that time, the status
+// counts as delivered after deliveryDeadline instead.
 func (d *Discovery) recordKnownAtStart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/emulator/fake_proxy_test.go
+++ b/internal/emulator/fake_proxy_test.go
@@ -20,8 +20,8 @@
 	closes bool // the connection is closed after the text
 }
 
-// fakeProxy is a proxy without backends. Its replies are computed from the ID of the request and the number of requests received,
-// which starts at 1.
+// fakeProxy is a proxy without backends. Its replies are computed from the ID of the request and the number of requests
+// received, which starts at 1.
 type fakeProxy struct {
 	inProcessProxy
 	reply    func(id string, number int) fakeReply
@@ -123,8 +123,8 @@
 	}
 }
 
-// While a proxy stalls, the load generator keeps sending requests at their due times, and the measured latency includes the stall.
-// A generator that waited for replies would send fewer requests and report too low a latency.
+// While a proxy stalls, the load generator keeps sending requests at their due times, and the measured latency includes the
+// stall. A generator that waited for replies would send fewer requests and report too low a latency.
 func TestStalledProxyDoesNotSlowLoad(t *testing.T) {
 	t.Parallel()
 	const stall = 600 * time.Millisecond
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -126,8 +126,8 @@
 }
 
 // The proxy replaces a discovery watch that becomes silent; a change that the watch missed counts as delivered six seconds after
-// it was published. An agent may also have a change before its proxy starts. A proxy whose discovery agent delivers nothing at all
-// violates the drain invariant, which shows that the check works.
+// it was published. An agent may also have a change before its proxy starts. A proxy whose discovery agent delivers nothing at
+// all violates the drain invariant, which shows that the check works.
 func TestListClock(t *testing.T) {
 	t.Parallel()
 	const replaced = `kind = "replace"; at_s = 0.8; for_s = 0.1; nodes = 1; leave_ms = 9500.0`
@@ -177,9 +177,9 @@
 	t.Logf("with shared duties %+v, without %+v", r.BackgroundLoad, unshared.BackgroundLoad)
 }
 
-// Processes with a negative cache are partitioned, paused, killed and restarted, and datagrams are lost, while keys are written. No
-// key is reported absent for longer than allowed after it was written, and the origin receives fewer look-ups of absent keys than
-// clients send.
+// Processes with a negative cache are partitioned, paused, killed and restarted, and datagrams are lost, while keys are written.
+// No key is reported absent for longer than allowed after it was written, and the origin receives fewer look-ups of absent keys
+// than clients send.
 func TestNegativeCacheStaysCurrentUnderFaults(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("127.%d.%d.", 100+networkNumbers.n%100, os.Getpid()%250)
 }
 
-// setUpGossip reserves the gossip and admin addresses of a proxy and starts the relay through which its peers reach it. Proxy and
-// relay each have an IP address of their own.
+// setUpGossip reserves the gossip and admin addresses of a proxy and starts the relay through which its peers reach it. Proxy
+// and relay each have an IP address of their own.
 func (r *runner) setUpGossip(i int, m *managedProxy) error {
 	proxyIP, relayIP := fmt.Sprint(r.addressPrefix, i+1), fmt.Sprint(r.addressPrefix, i+101)
 	listen, err := r.reservePort(proxyIP)
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// writeGossipConfigs writes each proxy's gossip file, with other proxies as seeds.
+// writeGossipConfigs writes the gossip file of each proxy, with up to maxSeeds other proxies as seeds.
 func (r *runner) writeGossipConfigs() error {
 	peers := r.plan.Scenario.Gossip
 	for i, own := range r.relays {
@@ -101,23 +101,23 @@
 	polls.Wait()
 }
 
-// recordGossipStatus polls one proxy and records its quota and rows. Nothing is recorded if the proxy does not reply or has become
-// unavailable meanwhile.
+// recordGossipStatus polls one proxy and records its quota and rows. Nothing is recorded if the proxy does not reply or has
+// become unavailable meanwhile.
 func (r *runner) recordGossipStatus(client *http.Client, i int) {
 	response, err := client.Get("http://" + r.proxies[i].config.AdminAddress + "/control/peers")
 	if err != nil {
 		return
 	}
 	text, err := io.ReadAll(response.Body)
-	_ = response.Body.Close() // it has been read, or reading it failed
+	_ = response.Body.Close() // the body has been read, or reading failed
 	if event, ok := parseGossipStatus(string(text)); err == nil && ok && r.load.available[i].Load() {
 		event.Proxy = i
 		r.log.Record(event)
 	}
 }
 
-// parseGossipStatus parses a reply to /control/peers into a QuotaReported event, whose MadeFor is "true" while the proxy is catching
-// up and "false" otherwise. It reports whether the reply contains a valid quota.
+// parseGossipStatus parses a reply to /control/peers into a QuotaReported event, whose MadeFor is "true" while the proxy is
+// catching up and "false" otherwise. It reports whether the reply contains a valid quota.
 func parseGossipStatus(text string) (event Event, ok bool) {
 	event.Kind = QuotaReported
 	for line := range strings.SplitSeq(text, "\n") {
@@ -150,8 +150,8 @@
 	at    time.Time
 }
 
-// announceToOne adds nodes and announces each to a single proxy, at even intervals over the duration. The nodes are in slow start
-// and therefore receive few requests. At the end all of them are published to all proxies.
+// announceToOne adds nodes and announces each to a single proxy, at even intervals over the duration. The nodes are in slow
+// start and therefore receive few requests. At the end all of them are published to all proxies.
 func (r *runner) announceToOne(ctx context.Context, nodes int, duration time.Duration) {
 	var added []*Node
 	for k := range nodes {
@@ -181,8 +181,8 @@
 	}
 }
 
-// announcementTarget returns the proxy for the k-th announcement: if possible, one that is available and whose discovery agent serves
-// watches.
+// announcementTarget returns the proxy for the k-th announcement: if possible, one that is available and whose discovery agent
+// serves watches.
 func (r *runner) announcementTarget(k int) int {
 	proxy := (k*7 + 3) % len(r.discoveries)
 	for step := range r.discoveries {
--- a/internal/emulator/gossip_report.go
+++ b/internal/emulator/gossip_report.go
@@ -21,8 +21,8 @@
 	measureGossipTraffic(report)
 }
 
-// readGossipLogs adds the catch-up times of proxies to the report. It returns, by node and proxy, the time in Unix seconds at which
-// the proxy first listed the node.
+// readGossipLogs adds the catch-up times of proxies to the report. It returns, by node and proxy, the time in Unix seconds at
+// which the proxy first listed the node.
 func (r *runner) readGossipLogs(report *Report) map[string]map[int]float64 {
 	receivedAt, begun := map[string]map[int]float64{}, map[int]float64{}
 	r.eachLogLine(func(proxy int, line logLine) {
@@ -44,8 +44,8 @@
 	return receivedAt
 }
 
-// measureAnnouncement adds to the report the times that the other proxies took to receive an announced node. receivedAt holds, by
-// proxy, the time in Unix seconds at which the node was received.
+// measureAnnouncement adds to the report the times that the other proxies took to receive an announced node. receivedAt holds,
+// by proxy, the time in Unix seconds at which the node was received.
 func (r *runner) measureAnnouncement(report *Report, a announcement, receivedAt map[int]float64) {
 	for i := range r.proxies {
 		at, ok := receivedAt[i]
--- a/internal/emulator/inject.go
+++ b/internal/emulator/inject.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// injectAgentAhead kills proxies, drains a node while they are down, and starts them again, so that the discovery agents have the
-// drain before the proxies start.
+// injectAgentAhead kills proxies, drains a node while they are down, and starts them again, so that the discovery agents have
+// the drain before the proxies start.
 func (r *runner) injectAgentAhead(ctx context.Context, fault activeFault) {
 	r.mu.Lock()
 	n := r.nodes[fault.Targets[0]%len(r.nodes)]
@@ -318,8 +318,8 @@
 // crowdConns is the number of connections of a crowd per unit of the fault's count.
 const crowdConns = 400
 
-// injectMalformedRequests sends malformed requests at fault.Rate per second. It counts those that the proxy neither replied to nor
-// closed the connection on.
+// injectMalformedRequests sends malformed requests at fault.Rate per second. It counts those that the proxy neither replied to
+// nor closed the connection on.
 func (r *runner) injectMalformedRequests(ctx context.Context, fault activeFault) {
 	var clients sync.WaitGroup
 	for i := 0; time.Now().Before(fault.endsAt) && ctx.Err() == nil; i++ {
--- a/internal/emulator/machine_faults.go
+++ b/internal/emulator/machine_faults.go
@@ -48,8 +48,8 @@
 	return f.errnos[number%len(f.errnos)]
 }
 
-// createFaultPages creates a fault page for each proxy, which is kept across restarts of the proxy. It returns errNoFaultPages if
-// the plan needs fault pages and the options do not allow them.
+// createFaultPages creates a fault page for each proxy, which is kept across restarts of the proxy. It returns errNoFaultPages
+// if the plan needs fault pages and the options do not allow them.
 func (r *runner) createFaultPages() error {
 	for _, event := range r.plan.Faults {
 		if needsFaultPages(event.Kind) && !r.options.FaultPages {
@@ -123,5 +123,6 @@
 	}
 }
 
-// reloadGrace is the time for which the old discovery address still serves open watches after proxies were reloaded with a new one.
+// reloadGrace is the time for which the old discovery address still serves open watches after proxies were reloaded with a new
+// one.
 const reloadGrace = 1500 * time.Millisecond
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -27,7 +27,7 @@
 	affects       func(from, to string) bool // reports whether a direction is affected; "" matches any name
 	lossRate      float64                    // probability that a datagram is lost; at 1, streams are silent as well
 	duplicateRate float64                    // probability that a datagram is duplicated
-	maxDelay      time.Duration              // datagrams get a random delay below it, so that they are reordered; streams get half of it
+	maxDelay      time.Duration              // upper bound of random datagram delays, which reorder them; streams wait half of it
 	resetStreams  bool                       // streams with waiting bytes are reset when the fault ends
 }
 
@@ -60,8 +60,8 @@
 	n.changed = make(chan struct{})
 }
 
-// linkState returns the combined faults of one direction of a link, and a channel that is closed at the next change. A nil network
-// has no faults.
+// linkState returns the combined faults of one direction of a link, and a channel that is closed at the next change. A nil
+// network has no faults.
 func (n *network) linkState(from, to string) (state linkFault, changed <-chan struct{}) {
 	if n == nil {
 		return linkFault{}, nil
@@ -85,8 +85,8 @@
 	return n.random.Float64()
 }
 
-// isCutOff reports whether a fault severs any link of a process. Over a severed link, other processes can't detect that the process
-// has ended.
+// isCutOff reports whether a fault severs any link of a process. Over a severed link, other processes can't detect that the
+// process has ended.
 func (n *network) isCutOff(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,8 +100,8 @@
 
 var errLinkReset = errors.New("link reset after a fault")
 
-// waitForLink waits until bytes of a stream may pass a link. It returns errLinkReset if the stream is to be reset, and os.ErrClosed
-// if the stream is closed while waiting.
+// waitForLink waits until bytes of a stream may pass a link. It returns errLinkReset if the stream is to be reset, and
+// os.ErrClosed if the stream is closed while waiting.
 func (n *network) waitForLink(from, to string, closed <-chan struct{}) error {
 	resetPending := false
 	for {
@@ -133,7 +133,8 @@
 	closeOnce     sync.Once
 }
 
-// wrap returns a connection whose bytes pass over the link between two processes. A nil network returns the connection unchanged.
+// wrap returns a connection whose bytes pass over the link between two processes. A nil network returns the connection
+// unchanged.
 func (n *network) wrap(c net.Conn, local, remote string) net.Conn {
 	if n == nil {
 		return c
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -41,8 +41,8 @@
 // writtenValueByte is the byte that the values written by clients consist of.
 const writtenValueByte = "v"
 
-// Node is a stand-in for a cache (RESP2) or the origin (HTTP/1.1). It listens at one address per proxy, to identify the proxy that
-// sent a command. Its methods may be called concurrently, except that Restart must only be called on a stopped node.
+// Node is a stand-in for a cache (RESP2) or the origin (HTTP/1.1). It listens at one address per proxy, to identify the proxy
+// that sent a command. Its methods may be called concurrently, except that Restart must only be called on a stopped node.
 type Node struct {
 	Name     string
 	Origin   bool
@@ -91,8 +91,8 @@
 // Addr returns the address of the node for a proxy.
 func (n *Node) Addr(proxy int) string { return n.addresses[proxy] }
 
-// SetMode sets the mode for a fraction of the commands, the delay of responses and the size of values in bytes. The mode "nowhere"
-// also closes the listeners.
+// SetMode sets the mode for a fraction of the commands, the delay of responses and the size of values in bytes. The mode
+// "nowhere" also closes the listeners.
 func (n *Node) SetMode(mode NodeMode, part float64, delay time.Duration, size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -171,8 +171,8 @@
 	}
 }
 
-// admit serves an accepted connection, unless it is a filler connection or the node has stopped. It reports whether the node accepts
-// further connections.
+// admit serves an accepted connection, unless it is a filler connection or the node has stopped. It reports whether the node
+// accepts further connections.
 func (n *Node) admit(c net.Conn, proxy int) bool {
 	n.mu.Lock()
 	links := n.cluster.network
--- a/internal/emulator/null_proxy.go
+++ b/internal/emulator/null_proxy.go
@@ -7,8 +7,8 @@
 	"net"
 )
 
-// ServeNull serves clients in place of a proxy until the context ends. It replies to every request immediately, without a backend,
-// as a baseline for measurements. It returns an error only if it can't listen.
+// ServeNull serves clients in place of a proxy until the context ends. It replies to every request immediately, without a
+// backend, as a baseline for measurements. It returns an error only if it can't listen.
 func ServeNull(ctx context.Context, addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/emulator/operators_test.go
+++ b/internal/emulator/operators_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// At start, a proxy loads an intact state file and moves a damaged one aside. The admin server reports which of these happened and
-// the stage of recovery.
+// At start, a proxy loads an intact state file and moves a damaged one aside. The admin server reports which of these happened
+// and the stage of recovery.
 func TestStateFileIsCheckedAtStart(t *testing.T) {
 	t.Parallel()
 	g := newProcessGroup(t, 63, cacheRow("c1", ""))
--- a/internal/emulator/process_group_test.go
+++ b/internal/emulator/process_group_test.go
@@ -22,7 +22,8 @@
 	discovery string // address of the discovery agent
 }
 
-// newProcessGroup returns a group whose IP addresses begin with 127.NETWORK and whose discovery agent serves the given endpoints.
+// newProcessGroup returns a group whose IP addresses begin with 127.NETWORK and whose discovery agent serves the given
+// endpoints.
 func newProcessGroup(t *testing.T, network int, rows ...emulator.Endpoint) *processGroup {
 	t.Helper()
 	d := emulator.NewDiscovery(0, nil)
@@ -95,7 +96,7 @@
 		return err.Error()
 	}
 	text, err := io.ReadAll(response.Body)
-	_ = response.Body.Close() // it has been read, or reading it failed
+	_ = response.Body.Close() // the body has been read, or reading failed
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/emulator/process_history.go
+++ b/internal/emulator/process_history.go
@@ -13,8 +13,8 @@
 	pauses  map[int][]time.Duration // by proxy, begins and ends alternately
 }
 
-// newProcessHistory collects the history from all events. This happens before events are checked, because the end of a connection
-// is recorded before the end of its process.
+// newProcessHistory collects the history from all events. This happens before events are checked, because the end of a
+// connection is recorded before the end of its process.
 func newProcessHistory(events []Event) *processHistory {
 	h := &processHistory{excused: map[int]float64{}, crowds: map[int][]time.Duration{}, kills: map[int][]time.Duration{}, pauses: map[int][]time.Duration{}}
 	crowds := map[int]int{} // by proxy, the number of present crowds
@@ -51,14 +51,14 @@
 	return overlapsSpans(h.pauses[proxy], from, to)
 }
 
-// wasCrowded reports whether idle clients occupied the descriptors of a proxy at any time within a span. The proxy may then close
-// new connections without reading from them.
+// wasCrowded reports whether idle clients occupied the descriptors of a proxy at any time within a span. The proxy may then
+// close new connections without reading from them.
 func (h *processHistory) wasCrowded(proxy int, from, to time.Duration) bool {
 	return overlapsSpans(h.crowds[proxy], from, to)
 }
 
-// overlapsSpans reports whether any of the spans, given by alternating begins and ends, overlaps the span between from and to. The
-// last span may lack an end.
+// overlapsSpans reports whether any of the spans, given by alternating begins and ends, overlaps the span between from and to.
+// The last span may lack an end.
 func overlapsSpans(spans []time.Duration, from, to time.Duration) bool {
 	for i := 0; i < len(spans); i += 2 {
 		if spans[i] <= to && (i+1 == len(spans) || spans[i+1] >= from) {
--- a/internal/emulator/recovery.go
+++ b/internal/emulator/recovery.go
@@ -47,7 +47,8 @@
 	return recoveries
 }
 
-// inTimeFraction returns the fraction of the requests due within a span that received a reply in time, 1 if there were no requests.
+// inTimeFraction returns the fraction of the requests due within a span that received a reply in time, 1 if there were no
+// requests.
 func (r *runner) inTimeFraction(from, to time.Duration) float64 {
 	sum, inTime := r.sumInTime(from, to, func(Route) float64 { return 1 })
 	if sum == 0 {
@@ -56,8 +57,8 @@
 	return inTime / sum
 }
 
-// earnedWeightFraction returns the fraction of the priority weight of the requests due within a span that was earned by replies in time,
-// 0 if there were no requests.
+// earnedWeightFraction returns the fraction of the priority weight of the requests due within a span that was earned by replies
+// in time, 0 if there were no requests.
 func (r *runner) earnedWeightFraction(from, to time.Duration) float64 {
 	sum, earned := r.sumInTime(from, to, func(route Route) float64 { return route.Weight })
 	return earned / max(sum, 1e-9)
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// relayStreamTimeout is the maximum time that bytes of a relayed stream may wait for a link, counted from the start of the stream.
-// Without it, a stream over a link that stays severed would never end.
+// relayStreamTimeout is the maximum time that bytes of a relayed stream may wait for a link, counted from the start of the
+// stream. Without it, a stream over a link that stays severed would never end.
 const relayStreamTimeout = time.Minute
 
 const (
@@ -19,8 +19,8 @@
 	datagramBufferSize = 64 << 10 // bytes
 )
 
-// relay forwards the TCP and UDP traffic from a proxy's peers to the proxy, over the simulated links between them. It identifies the
-// sender by the source IP address, which is different for each proxy.
+// relay forwards the TCP and UDP traffic from a proxy's peers to the proxy, over the simulated links between them. It identifies
+// the sender by the source IP address, which is different for each proxy.
 type relay struct {
 	network       *network
 	name          string            // of the proxy
@@ -59,8 +59,8 @@
 	return r.proxyByIP[host]
 }
 
-// listen starts to accept connections, until refuse or shutdown is called. It does nothing if the relay accepts connections already
-// or has been shut down.
+// listen starts to accept connections, until refuse or shutdown is called. It does nothing if the relay accepts connections
+// already or has been shut down.
 func (r *relay) listen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,8 +160,8 @@
 	}
 }
 
-// forwardDatagrams forwards datagrams until the relay is shut down. It applies the loss, duplication and delay of the link from the
-// sender.
+// forwardDatagrams forwards datagrams until the relay is shut down. It applies the loss, duplication and delay of the link from
+// the sender.
 func (r *relay) forwardDatagrams() {
 	target, err := net.ResolveUDPAddr("udp", r.targetAddress)
 	if err != nil {
--- a/internal/emulator/reload_faults.go
+++ b/internal/emulator/reload_faults.go
@@ -82,7 +82,8 @@
 }
 
 // hotRestart starts a successor beside the running process of a proxy and ends the predecessor once the successor is ready. It
-// returns false if the successor does not become ready. It does nothing if no process is running or the proxy has no admin server.
+// returns false if the successor does not become ready. It does nothing if no process is running or the proxy has no admin
+// server.
 func (r *runner) hotRestart(ctx context.Context, i int) bool {
 	m := r.proxies[i]
 	m.mu.Lock()
@@ -108,12 +109,12 @@
 			r.log.Record(Event{Kind: ProcessLate, Proxy: i})
 		}
 		process.Kill()
-		<-process.Done() //nolint:errcheck // it was killed
+		<-process.Done() //nolint:errcheck // the process was killed
 		return false
 	}
 	if !m.adoptSuccessor(old, successor, address) {
 		process.Kill()
-		<-process.Done() //nolint:errcheck // it was killed
+		<-process.Done() //nolint:errcheck // the process was killed
 		return true
 	}
 	r.processWatchers.Go(func() { r.watchProcess(i, successor) })
@@ -126,8 +127,8 @@
 	return true
 }
 
-// adoptSuccessor makes the successor the current process of the proxy and reports whether it did. It refuses if the predecessor has
-// ended, has been signaled to end or has been replaced meanwhile, because another process may be starting in that case.
+// adoptSuccessor makes the successor the current process of the proxy and reports whether it did. It refuses if the predecessor
+// has ended, has been signaled to end or has been replaced meanwhile, because another process may be starting in that case.
 func (m *managedProxy) adoptSuccessor(old, successor *incarnation, address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -143,8 +144,8 @@
 	return true
 }
 
-// awaitAdminReady waits until the readiness endpoint of the admin server reports ready. It returns false on timeout or if the context
-// ends.
+// awaitAdminReady waits until the readiness endpoint of the admin server reports ready. It returns false on timeout or if the
+// context ends.
 func (r *runner) awaitAdminReady(ctx context.Context, address string, timeout time.Duration) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		response, err := http.Get("http://" + address + "/control/ready")
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -44,7 +44,7 @@
 	relays        []*relay          // by proxy; nil without gossip
 
 	unansweredBadClients atomic.Int64 // malformed requests without an error reply or a closed connection
-	bursts               atomic.Int64 // number of bursts so far; numbers the requests of bursts
+	bursts               atomic.Int64 // number of requests sent in bursts; makes their IDs unique
 	backgroundLoad       backgroundSamples
 	faultPages           []*faultbuild.Page // by proxy; nil without Options.FaultPages
 
@@ -57,8 +57,8 @@
 	reserved      map[string]bool // addresses returned by reservePort
 }
 
-// Run runs a plan and returns its report. No proxy process is left when it returns, even after an error. If the context ends before
-// the scenario, Run removes Options.Dir and returns the error of the context.
+// Run runs a plan and returns its report. No proxy process is left when it returns, even after an error. If the context ends
+// before the scenario, Run removes Options.Dir and returns the error of the context.
 func Run(ctx context.Context, plan *Plan, options Options) (*Report, error) {
 	if options.IP == "" { // unique to the run, so that outgoing connections of the machine take no ports there
 		options.IP = nextAddressPrefix() + "250"
@@ -125,12 +125,12 @@
 // spareDescriptors is the number of file descriptors needed in addition to those of connections.
 const spareDescriptors = 256
 
-// severedDescriptors is the number of descriptors needed to fill the backlog of a listener while its link is severed: both ends of
-// each filler connection.
+// severedDescriptors is the number of descriptors needed to fill the backlog of a listener while its link is severed: both ends
+// of each filler connection.
 const severedDescriptors = 2 * fillersNeeded
 
-// checkDescriptors returns an error if the limit on open file descriptors is too low for the scenario. A client connection takes one
-// descriptor in this process and one in its proxy, and each cache has one listener per proxy.
+// checkDescriptors returns an error if the limit on open file descriptors is too low for the scenario. A client connection takes
+// one descriptor in this process and one in its proxy, and each cache has one listener per proxy.
 func (d *Scenario) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -14,8 +14,8 @@
 	"woodproxy/internal/emulator"
 )
 
-// A scenario without faults, one with many simultaneous faults, and the latter with hedging violate no invariant, and clients are
-// served.
+// A scenario without faults, one with many simultaneous faults, and the latter with hedging violate no invariant, and clients
+// are served.
 func TestDays(t *testing.T) {
 	t.Parallel()
 	faulty := withFaults(
@@ -48,8 +48,8 @@
 	}
 }
 
-// A process that ends unexpectedly violates the crash invariant and its log is kept. A process that can't start ends the run with an
-// error.
+// A process that ends unexpectedly violates the crash invariant and its log is kept. A process that can't start ends the run
+// with an error.
 func TestCrashIsReported(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -135,7 +135,8 @@
 	}
 }
 
-// If two faults kill and restart the same proxies, only one process of each proxy runs at a time, and none is left after the run.
+// If two faults kill and restart the same proxies, only one process of each proxy runs at a time, and none is left after the
+// run.
 func TestOverlappingKillsLeaveOneProcess(t *testing.T) {
 	t.Parallel()
 	var running [2]atomic.Int64
--- a/internal/emulator/zone_faults.go
+++ b/internal/emulator/zone_faults.go
@@ -66,8 +66,8 @@
 	return os.WriteFile(m.config.ZoneHealthFile, []byte(text), 0o600)
 }
 
-// zoneFaultBegins records the begin of a fault if it affects a zone. Where operators judge zones, it immediately sets the override
-// "out".
+// zoneFaultBegins records the begin of a fault if it affects a zone. Where operators judge zones, it immediately sets the
+// override "out".
 func (r *runner) zoneFaultBegins(event FaultEvent) {
 	if event.Zone == "" {
 		return
@@ -98,8 +98,8 @@
 	r.overrideZone(event, "auto")
 }
 
-// overrideZone sends the override for a zone to every proxy outside it. It does nothing unless operators judge zones, or for faults
-// that do not justify an evacuation.
+// overrideZone sends the override for a zone to every proxy outside it. It does nothing unless operators judge zones, or for
+// faults that do not justify an evacuation.
 func (r *runner) overrideZone(event FaultEvent, mode string) {
 	if r.plan.Scenario.ZoneHealth.Decision != zonesJudgedByOperators || event.Kind == "zone-grey" {
 		return
@@ -150,8 +150,8 @@
 	served float64
 }
 
-// measureZoneHealth adds to the report the outcome of each zone fault and the number of verdicts that no fault explains, both from
-// the logs of the proxies.
+// measureZoneHealth adds to the report the outcome of each zone fault and the number of verdicts that no fault explains, both
+// from the logs of the proxies.
 func (r *runner) measureZoneHealth(report *Report) {
 	var shifts []zoneShift
 	r.eachLogLine(func(proxy int, line logLine) {
@@ -184,7 +184,8 @@
 	}
 }
 
-// zoneFaultResult calculates the outcome of a fault from the shifts of all proxies, which must be ordered by time for each proxy.
+// zoneFaultResult calculates the outcome of a fault from the shifts of all proxies, which must be ordered by time for each
+// proxy.
 func (r *runner) zoneFaultResult(fault zoneFault, shifts []zoneShift) ZoneFaultResult {
 	result := ZoneFaultResult{Zone: fault.zone, At: fault.from.Sub(r.log.start)}
 	to := fault.to
@@ -223,8 +224,8 @@
 	return result
 }
 
-// hasCause reports whether a fault explains that a proxy finds a zone unreachable at the given time: the fault affects that zone or
-// the zone of the proxy.
+// hasCause reports whether a fault explains that a proxy finds a zone unreachable at the given time: the fault affects that zone
+// or the zone of the proxy.
 func (r *runner) hasCause(proxy int, zone string, at time.Time) bool {
 	return slices.ContainsFunc(r.zoneFaults, func(f zoneFault) bool {
 		return f.explains(at) && (f.zone == zone || f.proxiesInside[proxy])
