--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -12,10 +12,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// bufferSize is the size of the buffers of both streams, in bytes.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes.
 const bufferSize = 1 << 16
 
-// Errors of the framing of messages and batches.
+// Errors in the framing of messages and batches.
 var (
 	errNotJSON      = errors.New("not JSON")
 	errNotMessage   = errors.New("not an array that begins with a message name")
@@ -25,19 +25,20 @@
 	errUnknown      = errors.New("unknown message")
 )
 
-// adapter holds the state of one conversation with the simulator.
+// adapter holds the state of one session with the simulator.
 type adapter struct {
 	lines     lineReader
 	parser    fastjson.Parser
 	replies   encoder
 	inBatch   bool
-	now       balancer.Time // the simulator's clock at the start of the batch
+	now       balancer.Time // the simulator's clock at the start of the current batch
 	instances map[int]*instance
 	lists     listBanks
 }
 
-// Serve reads batches from in and writes one reply to out for each, until in ends. The error is one line that names
-// the line of the input, the message and the field at fault. Serve works on the calling goroutine only.
+// Serve reads batches of messages from in and writes one reply for each batch to out, until it reaches the end of in.
+// The text of a returned error is a single line that names the input line, the message and the invalid field. Serve
+// starts no goroutines.
 func Serve(in io.Reader, out io.Writer) error {
 	a := &adapter{
 		lines:     lineReader{in: bufio.NewReaderSize(in, bufferSize)},
@@ -60,7 +61,7 @@
 	}
 }
 
-// serveLine serves the message on one line.
+// serveLine parses and handles the message on one input line.
 func (a *adapter) serveLine(line []byte) error {
 	m, err := a.parseMessage(line)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return a.serveInstance(m)
 }
 
-// parseMessage parses a line. The message is valid until the next call.
+// parseMessage parses one input line. The returned message is valid until the next call.
 func (a *adapter) parseMessage(line []byte) (*message, error) {
 	v, err := a.parser.ParseBytes(line)
 	if err != nil {
@@ -100,10 +101,12 @@
 	return &message{name: string(values[0].GetStringBytes()), values: values[1:]}, nil
 }
 
-// handler serves a message to an instance, which is nil only where the message is to start it. A handler that fails
-// keeps the error in the message and returns no decisions.
+// handler handles a message for an instance and returns the decisions of the instance's balancer. The instance is nil
+// only for the boot message that starts it. A handler that fails stores the error in the message and returns no
+// decisions.
 type handler func(*adapter, *instance, *message) []balancer.Decision
 
+// handlers holds the handlers of the messages that are addressed to an instance, by message name.
 var handlers = map[string]handler{
 	"boot":          (*adapter).start,
 	"power-off":     (*adapter).stop,
@@ -117,7 +120,7 @@
 	"from-peer":     (*adapter).peerReported,
 }
 
-// serveInstance serves a message to the instance that it names and encodes the decisions.
+// serveInstance handles a message for the instance that the message names, and encodes the resulting decisions.
 func (a *adapter) serveInstance(m *message) error {
 	handle, ok := handlers[m.name]
 	if !ok {
--- a/internal/simadapter/doc.go
+++ b/internal/simadapter/doc.go
@@ -1,7 +1,7 @@
-// Package simadapter runs balancers under the simulator. It speaks the simulator's protocol, lines of JSON arrays in
-// batches on a pair of streams: messages become calls on balancers, whose decisions are encoded as lines of the
-// reply. It decides nothing.
+// Package simadapter runs balancers under the simulator. It implements the simulator's protocol, in which each message
+// is a JSON array on a line of its own and messages are grouped in batches. The package translates each message to a
+// call on a balancer, and encodes the balancer's decisions as lines of the reply. It makes no routing decisions itself.
 //
-// The simulator names requests and endpoints by strings; the balancer knows them by small indices. The adapter
-// translates, for each running balancer on its own.
+// The simulator identifies requests and endpoints by strings, and the balancer by small indices. The adapter keeps a
+// separate mapping between the two for each running balancer.
 package simadapter
--- a/internal/simadapter/encoder.go
+++ b/internal/simadapter/encoder.go
@@ -9,24 +9,24 @@
 	"github.com/valyala/fastjson"
 )
 
-// encoder writes the lines of replies. They are buffered up to the end of the reply.
+// encoder encodes and writes the lines of replies. Lines are buffered until the end of the reply.
 type encoder struct {
 	out   *bufio.Writer
-	line  []byte // the line that is being encoded
+	line  []byte // the line being encoded
 	arena fastjson.Arena
 }
 
-// endOfReply writes the last line of a reply and flushes it. It returns the first error of any write.
+// endOfReply writes the last line of a reply and flushes the output. It returns the first error of any write so far.
 func (e *encoder) endOfReply() error {
 	e.write([]byte("[\"eor\"]\n"))
 	return e.out.Flush()
 }
 
 func (e *encoder) write(line []byte) {
-	_, _ = e.out.Write(line) // a bufio.Writer keeps its first error, which Flush returns
+	_, _ = e.out.Write(line) // the bufio.Writer keeps its first error, and Flush returns it
 }
 
-// decisions encodes an instance's decisions in their order, and then frees the slots of the requests that they end.
+// decisions encodes an instance's decisions in order, and then frees the slots of the requests that they finish.
 func (e *encoder) decisions(number int, in *instance, decisions []balancer.Decision) {
 	for i := range decisions {
 		e.decision(number, in, &decisions[i])
@@ -38,7 +38,7 @@
 	}
 }
 
-// decision encodes one decision and notes what the instance has to know of it later.
+// decision encodes one decision and updates the instance's record of the request or timer concerned.
 func (e *encoder) decision(number int, in *instance, d *balancer.Decision) {
 	switch d.Action {
 	case balancer.Send:
@@ -49,11 +49,11 @@
 		e.begin("abort-attempt", number).text(in.requests.slots[d.Request].id).integer(int64(d.Attempt))
 	case balancer.Shed:
 		slot := &in.requests.slots[d.Request]
-		slot.over = true
+		slot.finished = true
 		e.begin("busy", number).text(slot.id).milliseconds(d.After)
 	case balancer.Error:
 		slot := &in.requests.slots[d.Request]
-		slot.over = true
+		slot.finished = true
 		e.begin("finish-error", number).text(slot.id)
 	case balancer.SetTimer:
 		in.timer++
@@ -68,20 +68,20 @@
 	e.end()
 }
 
-// begin opens a line with the name of a message and the number of the instance that it is from.
+// begin starts a line with the name of a message and the number of the instance that sends it.
 func (e *encoder) begin(name string, number int) *encoder {
 	e.line = append(e.line[:0], '[', '"')
 	e.line = append(append(e.line, name...), '"')
 	return e.integer(int64(number))
 }
 
-// end closes the line and writes it.
+// end completes the line and writes it.
 func (e *encoder) end() {
 	e.line = append(e.line, ']', '\n')
 	e.write(e.line)
 }
 
-// raw adds a value that is JSON already.
+// raw appends a value that is already encoded as JSON.
 func (e *encoder) raw(json string) *encoder {
 	e.line = append(append(e.line, ','), json...)
 	return e
@@ -92,13 +92,13 @@
 	return e
 }
 
-// milliseconds adds a time in milliseconds, with a decimal for balancer's tenths.
+// milliseconds appends a time in milliseconds with one decimal, since balancer.Time counts tenths of a millisecond.
 func (e *encoder) milliseconds(t balancer.Time) *encoder {
 	e.line = strconv.AppendFloat(append(e.line, ','), float64(t)/10, 'f', 1, 64)
 	return e
 }
 
-// text adds a string. Nearly all need no escapes and are copied.
+// text appends a string. Nearly all strings need no escapes and are copied without a pass through the arena.
 func (e *encoder) text(s string) *encoder {
 	e.line = append(e.line, ',')
 	if needsEscapes(s) {
--- a/internal/simadapter/endpointlist.go
+++ b/internal/simadapter/endpointlist.go
@@ -7,39 +7,39 @@
 	"github.com/valyala/fastjson"
 )
 
-// bankCount is how many numbered endpoint lists the protocol has.
+// bankCount is the number of endpoint lists that the protocol can store at a time.
 const bankCount = 16
 
-// The states of an endpoint.
+// Values of the readiness field of an endpoint.
 const (
 	stateServing  = "SERVING"
 	stateDraining = "DRAINING"
 	stateDeleted  = "DELETED"
 )
 
-// How an instance receives a list.
+// Values of the mode field, which states how an instance receives an endpoint list.
 const (
-	modeIncremental = "INCREMENTAL" // only the endpoints that changed
+	modeIncremental = "INCREMENTAL" // contains only the endpoints that changed
 	modeFull        = "FULL"
-	modeSaved       = "SAVED"  // a full list from before the instance started, whose endpoints are warm
-	modeFailed      = "FAILED" // the poll for the list failed
+	modeSaved       = "SAVED"  // a full list saved before the instance started; its endpoints are not in slow start
+	modeFailed      = "FAILED" // the poll for the list failed; there is no list
 )
 
-// endpoint is an entry of a list, by the simulator's names.
+// endpoint is an entry of an endpoint list, with the simulator's names.
 type endpoint struct {
 	kind, name, zone, state string
-	since                   balancer.Time // when it last started; 0: long ago
+	since                   balancer.Time // time of the last start; 0 if it started long ago
 	weight                  float64
 	cell                    int
 }
 
-// listBanks holds the numbered lists, which any instance may be given later on.
+// listBanks holds the registered endpoint lists by number. Each list can be sent to any instance later.
 type listBanks [bankCount]struct {
 	endpoints  []endpoint
 	registered bool
 }
 
-// register stores a list under its number, in place of the one before.
+// register stores an endpoint list under its number and replaces the previous list of that number.
 func (b *listBanks) register(m *message) {
 	number := m.count(0, "bank", jsonvalue.Required)
 	if m.err == nil && number >= bankCount {
@@ -60,7 +60,7 @@
 	b[number].endpoints, b[number].registered = endpoints, true
 }
 
-// readEndpoint reads one entry of a list. Its errors are those of the message.
+// readEndpoint reads one entry of an endpoint list. It stores an error in the message.
 func readEndpoint(m *message, row *fastjson.Value) endpoint {
 	cells, err := row.Array()
 	if err != nil {
@@ -85,7 +85,7 @@
 	return e
 }
 
-// updateEndpoints gives an instance one of the numbered lists, or the failure of a poll for one.
+// updateEndpoints passes a registered endpoint list to an instance, or reports to it that its poll for the list failed.
 func (a *adapter) updateEndpoints(in *instance, m *message) []balancer.Decision {
 	m.number(1, "index", jsonvalue.Optional)
 	mode := m.text(3, "mode", jsonvalue.Required)
@@ -105,15 +105,15 @@
 	}
 	list := make([]balancer.Endpoint, 0, len(a.lists[bank].endpoints))
 	for i := range a.lists[bank].endpoints {
-		list = append(list, in.listing(&a.lists[bank].endpoints[i]))
+		list = append(list, in.balancerEndpoint(&a.lists[bank].endpoints[i]))
 	}
-	warm := mode == modeSaved || !in.hasList // the first list has the endpoints that were there before the instance
+	warm := mode == modeSaved || !in.hasList // the endpoints of the first list were running before the instance started
 	in.hasList = true
 	return in.balancer.UpdateEndpoints(a.now, balancer.EndpointUpdate{Complete: mode != modeIncremental, First: warm, Endpoints: list})
 }
 
-// listing translates an endpoint to the balancer's indices.
-func (in *instance) listing(e *endpoint) balancer.Endpoint {
+// balancerEndpoint translates an endpoint to the balancer's form, with the instance's indices.
+func (in *instance) balancerEndpoint(e *endpoint) balancer.Endpoint {
 	zone, ok := in.settings.Zones[e.zone]
 	if !ok {
 		zone = -1
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -10,24 +10,24 @@
 	"github.com/valyala/fastjson"
 )
 
-// instance is a running balancer with the names behind its indices.
+// instance is a running balancer with the mapping between its indices and the simulator's names.
 type instance struct {
 	balancer *balancer.Balancer
 	settings *settings.Settings
 	nodes    nodeTable
 	requests requestTable
-	timer    int64 // number of the timer that was set last; earlier ones are void
-	hasList  bool  // an endpoint list has been received
+	timer    int64 // number of the latest timer; earlier timers are ignored when they fire
+	hasList  bool  // whether an endpoint list has been received
 }
 
-// nodeTable gives each endpoint an index, which it keeps as long as the instance runs.
+// nodeTable assigns each endpoint an index, which stays the same as long as the instance runs.
 type nodeTable struct {
 	byName     map[string]int
 	byPeerCode map[string]int
 	names      []string // by index
 }
 
-// index returns the index of an endpoint, a new one where it had none.
+// index returns the index of an endpoint, and assigns a new index to an unknown endpoint.
 func (t *nodeTable) index(name string) int {
 	index, ok := t.byName[name]
 	if !ok {
@@ -39,22 +39,22 @@
 	return index
 }
 
-// requestSlot holds what is known of the request at an index. It is reused once the request is over and none of its
-// attempts is in flight.
+// requestSlot holds the state of the request at an index. The slot is reused once the request has finished and none of
+// its attempts is in flight.
 type requestSlot struct {
-	id       string // the simulator's name; "": the slot is free
-	inFlight int    // attempts
-	over     bool
+	id       string // the simulator's name of the request; empty if the slot is free
+	inFlight int    // number of attempts in flight
+	finished bool   // whether the client has a reply or is gone
 }
 
-// requestTable gives each open request an index.
+// requestTable assigns an index to each open request.
 type requestTable struct {
 	byID  map[string]int
 	slots []requestSlot // by index
-	free  []int         // indices of free slots; the one freed last is used first
+	free  []int         // indices of free slots; the most recently freed one is used first
 }
 
-// open returns the index of a new request.
+// open assigns an index to a new request and returns it.
 func (t *requestTable) open(id string) int {
 	index := len(t.slots)
 	if n := len(t.free); n > 0 {
@@ -67,18 +67,18 @@
 	return index
 }
 
-// releaseIfDone frees the slot of a request for which nothing more can be received.
+// releaseIfDone frees the slot of a request that has finished and has no attempts in flight.
 func (t *requestTable) releaseIfDone(index int) {
 	slot := &t.slots[index]
-	if slot.over && slot.inFlight == 0 && slot.id != "" {
+	if slot.finished && slot.inFlight == 0 && slot.id != "" {
 		delete(t.byID, slot.id)
 		slot.id = ""
 		t.free = append(t.free, index)
 	}
 }
 
-// start starts an instance with its settings, in place of a running one of that number. It has no state of an earlier
-// one.
+// start starts an instance with the settings in the message. It replaces a running instance of the same number, whose
+// state is discarded.
 func (a *adapter) start(_ *instance, m *message) []balancer.Decision {
 	salt := readSalt(m)
 	object := m.at(2)
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// readSalt reads the seed of the balancer's random numbers. All 64 bits of a natural number count; another one is
-// rounded.
+// readSalt reads the seed of the balancer's random number generator. A non-negative integer is used with all its 64
+// bits; a negative or fractional number is truncated to an integer.
 func readSalt(m *message) uint64 {
 	number := m.number(1, "salt", jsonvalue.Required)
 	if m.err != nil {
@@ -115,7 +115,7 @@
 	return uint64(int64(number))
 }
 
-// stop ends an instance at once. Nothing of it is kept.
+// stop ends an instance immediately and discards its state.
 func (a *adapter) stop(_ *instance, m *message) []balancer.Decision {
 	delete(a.instances, m.instance)
 	return nil
--- a/internal/simadapter/linereader.go
+++ b/internal/simadapter/linereader.go
@@ -10,11 +10,12 @@
 // lineReader reads lines of any length and counts them.
 type lineReader struct {
 	in     *bufio.Reader
-	number int    // of the line that was read last, from 1
-	long   []byte // a line that did not fit the buffer of in
+	number int    // number of the latest line, from 1
+	long   []byte // a line that is longer than the buffer of in
 }
 
-// next returns the next line without its line end and trailing spaces, valid until the next call, or io.EOF.
+// next returns the next line without its line ending and trailing spaces, or io.EOF at the end of the input. The line
+// is valid until the next call.
 func (r *lineReader) next() ([]byte, error) {
 	r.number++
 	r.long = r.long[:0]
--- a/internal/simadapter/peers.go
+++ b/internal/simadapter/peers.go
@@ -8,17 +8,19 @@
 	"woodproxy/balancer"
 )
 
-// respondsSuffix marks a report that an endpoint responds again; without it the report is that it stopped responding.
+// respondsSuffix marks a report that an endpoint responds again. A report without the suffix states that the endpoint
+// has stopped responding.
 const respondsSuffix = "+"
 
-// peerCode returns the name of an endpoint in reports between peers: a few bytes, since each byte sent has a fee.
+// peerCode returns the short code that stands in reports between peers in place of an endpoint's name, since the
+// simulator charges a fee for each byte sent.
 func peerCode(name string) string {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
 	return strconv.FormatUint(uint64(hash.Sum32()), 36)
 }
 
-// encodePeerReport returns the text of a report about an endpoint.
+// encodePeerReport returns the text of a report that the named endpoint responds again, or has stopped responding.
 func encodePeerReport(name string, responds bool) string {
 	if responds {
 		return peerCode(name) + respondsSuffix
@@ -26,8 +28,8 @@
 	return peerCode(name)
 }
 
-// peerReported passes on a peer's report. One that is malformed, or about an endpoint that was never listed here, is
-// ignored.
+// peerReported passes a peer's report to the balancer. It ignores a malformed report, and a report about an endpoint
+// that has not been in any list of this instance.
 func (a *adapter) peerReported(in *instance, m *message) []balancer.Decision {
 	text := m.at(2)
 	if text == nil {
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -7,17 +7,17 @@
 	"github.com/valyala/fastjson"
 )
 
-// noTenant is the index of a request without a tenant, or of one that is not in the settings.
+// noTenant is the tenant index of a request without a tenant or with a tenant that is not in the settings.
 const noTenant = -1
 
-// outcomes are the protocol's names of an attempt's outcomes.
+// outcomes maps the protocol's names of attempt outcomes to the balancer's outcomes.
 var outcomes = map[string]balancer.Outcome{
 	"pass": balancer.Completed, "fault": balancer.ServerError, "no_room": balancer.Overloaded, "too_slow": balancer.TimedOut,
 	"no_route": balancer.ConnectFailed, "cut": balancer.Reset, "undone": balancer.Cancelled, "stale_send": balancer.NotSent,
 	"none_here": balancer.CacheMiss,
 }
 
-// requestArrived opens a request.
+// requestArrived registers a new request and passes it to the balancer.
 func (a *adapter) requestArrived(in *instance, m *message) []balancer.Decision {
 	id := m.text(1, "txn", jsonvalue.Required)
 	request := in.readRequest(m)
@@ -53,7 +53,7 @@
 	return request
 }
 
-// readTenant reads the tenant, a name of the settings. A number stands for no tenant.
+// readTenant returns the index of the request's tenant, whose name must be a string. Null or a number means no tenant.
 func (in *instance) readTenant(m *message) int {
 	v := m.at(4)
 	switch {
@@ -68,7 +68,7 @@
 	return noTenant
 }
 
-// streamStarted reports that the response of an attempt has begun to reach the client.
+// streamStarted reports to the balancer that the response of an attempt has started to reach the client.
 func (a *adapter) streamStarted(in *instance, m *message) []balancer.Decision {
 	id := m.text(1, "txn", jsonvalue.Required)
 	m.count(2, "leg", jsonvalue.Required)
@@ -81,7 +81,7 @@
 	return in.balancer.ReplyStarted(a.now, index)
 }
 
-// clientLeft ends a request whose client does not wait any longer. Its attempts may still be in flight.
+// clientLeft finishes a request whose client has stopped waiting. Attempts of the request may still be in flight.
 func (a *adapter) clientLeft(in *instance, m *message) []balancer.Decision {
 	id := m.text(1, "txn", jsonvalue.Required)
 	index, ok := in.requests.byID[id]
@@ -89,12 +89,13 @@
 		return nil
 	}
 	decisions := in.balancer.ClientGone(a.now, index)
-	in.requests.slots[index].over = true
+	in.requests.slots[index].finished = true
 	in.requests.releaseIfDone(index)
 	return decisions
 }
 
-// attemptFinished reports the outcome of an attempt. One of a request that is not known any more is ignored.
+// attemptFinished reports the outcome of an attempt to the balancer. It ignores an attempt of an unknown request, and an
+// outcome beyond the number of attempts in flight.
 func (a *adapter) attemptFinished(in *instance, m *message) []balancer.Decision {
 	id := m.text(1, "txn", jsonvalue.Required)
 	name := m.text(2, "node", jsonvalue.Required)
@@ -102,7 +103,7 @@
 	m.number(4, "info", jsonvalue.Optional)
 	elapsed := m.time(5, "elapsed", jsonvalue.Optional)
 	outcomeName := m.text(6, "ending", jsonvalue.Required)
-	requestOver := m.flag(7, "ended")
+	requestFinished := m.flag(7, "ended")
 	m.checkObject(8, "report")
 	outcome, ok := outcomes[outcomeName]
 	if !ok {
@@ -118,15 +119,15 @@
 	}
 	slot := &in.requests.slots[index]
 	slot.inFlight--
-	slot.over = slot.over || requestOver
+	slot.finished = slot.finished || requestFinished
 	decisions := in.balancer.AttemptFinished(a.now, balancer.AttemptResult{
-		Request: index, Endpoint: node, Outcome: outcome, Latency: elapsed, Replied: requestOver,
+		Request: index, Endpoint: node, Outcome: outcome, Latency: elapsed, Replied: requestFinished,
 	})
 	in.requests.releaseIfDone(index)
 	return decisions
 }
 
-// timerFired wakes the balancer if the timer is the one that was set last.
+// timerFired calls the balancer's TimerFired if the timer is the latest one that the balancer has set.
 func (a *adapter) timerFired(in *instance, m *message) []balancer.Decision {
 	timer := m.integer(1, "mark")
 	if m.err != nil || timer != in.timer {
@@ -135,7 +136,7 @@
 	return in.balancer.TimerFired(a.now)
 }
 
-// probed checks the outcome of a health check. The balancer does without them.
+// probed validates the result of a health check probe and ignores it: the balancer uses no probe results.
 func (a *adapter) probed(_ *instance, m *message) []balancer.Decision {
 	m.text(1, "node", jsonvalue.Required)
 	m.number(2, "elapsed", jsonvalue.Optional)
