--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -18,7 +18,7 @@
 
 func batch(lines string) string { return "[\"mark\",10.5]\n" + lines + "[\"go\"]\n" }
 
-// Each batch has one reply, with its lines in the order of the messages. Messages that are valid but outdated are
+// Each batch gets exactly one reply, whose lines are in the order of the messages. Valid but outdated messages are
 // ignored.
 func TestServeRepliesToEachBatch(t *testing.T) {
 	in := batch("") + batch(opening+`["order",1,"t/1",null,null,null,500,"read",false,false,7]
@@ -50,8 +50,8 @@
 	}
 }
 
-// A peer's report about a listed endpoint moves its keys. One that is empty, too long, malformed or about an endpoint
-// that is not listed is ignored.
+// A peer's report that a listed endpoint does not respond moves the endpoint's keys to another one. A report that is
+// empty, too long, malformed or about an unlisted endpoint is ignored.
 func TestPeerReports(t *testing.T) {
 	two := strings.NewReplacer(`"replicas-of-me":1`, `"replicas-of-me":2,"me":0`, `"may-cancel"`, `"may-tell":true,"may-cancel"`,
 		`"z","c1"]`, `"z","c1"],["std","SERVING",0,null,1,"z","c2"]`).Replace(opening)
@@ -74,25 +74,25 @@
 		{"number", `7`},
 		{"array", `["x"]`},
 		{"too long", `"` + strings.Repeat("z", 300) + `"`},
-		{"of an endpoint that is not listed", `"` + peerCode("c9") + `"`},
+		{"about an unlisted endpoint", `"` + peerCode("c9") + `"`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := ownerAfter(t, `["from-peer",1,2,`+test.report+"]\n"); got != first {
-				t.Errorf("%s moved a key from %s to %s", test.report, first, got)
+				t.Errorf("after report %s: got owner %s, want unchanged owner %s", test.report, got, first)
 			}
 		})
 	}
 	if got := ownerAfter(t, `["from-peer",1,2,"`+peerCode(first)+"\"]\n"); got == first {
-		t.Errorf("a key stays on %s, which is reported as not responding", got)
+		t.Errorf("got owner %s, which is reported as not responding, want another one", got)
 	}
 }
 
-// Malformed input ends the run with one line that names the line, the message and the field.
+// Malformed input makes Serve return an error whose single line names the input line, the message and the field.
 func TestMalformedInputNamesLineMessageAndField(t *testing.T) {
 	for _, test := range []struct{ name, input, want string }{
 		{"not JSON", "nonsense\n", "line 1: not JSON"},
 		{"object in place of an array", "{}\n", "line 1: not an array that begins with a message name"},
-		{"batch ends before it begins", "[\"go\"]\n", "line 1: go: outside a batch"},
+		{"batch ends before it starts", "[\"go\"]\n", "line 1: go: outside a batch"},
 		{"clock mistyped", "[\"mark\",\"x\"]\n", "line 1: mark: clock: mistyped"},
 		{"input ends inside a batch", "[\"mark\",1]\n", "line 2: input ends inside a batch"},
 		{"unknown message", batch("[\"nap\",1]\n"), "line 2: nap: unknown message"},
@@ -114,17 +114,17 @@
 		{"time remaining mistyped", batch(opening + "[\"order\",1,\"t\",null,null,null,\"5\",\"read\"]\n"), "line 5: order: remaining: mistyped"},
 		{"unknown route", batch(opening + "[\"order\",1,\"t\",null,null,null,5,\"write\"]\n"), "line 5: order: kind: not in the settings"},
 		{"unknown outcome", batch(opening + "[\"returned\",1,\"t\",\"c1\",0,null,5,\"nap\"]\n"), "line 5: returned: ending: out of its range"},
-		{"endpoint in no list", batch(opening + "[\"returned\",1,\"t\",\"c9\",0,null,5,\"pass\"]\n"), "line 5: returned: node: in no list"},
+		{"unlisted endpoint", batch(opening + "[\"returned\",1,\"t\",\"c9\",0,null,5,\"pass\"]\n"), "line 5: returned: node: not in any endpoint list"},
 		{"timer number missing", batch(opening + "[\"timeout-fired\",1]\n"), "line 5: timeout-fired: mark: missing"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := Serve(strings.NewReader(test.input), &out)
 			if err == nil || err.Error() != test.want {
-				t.Errorf("%q: %v, want %s", test.input, err, test.want)
+				t.Errorf("%q: got error %v, want %s", test.input, err, test.want)
 			}
 			if strings.Contains(out.String(), "eor") {
-				t.Errorf("%q: replied nevertheless: %q", test.input, out.String())
+				t.Errorf("%q: got reply %q, want none", test.input, out.String())
 			}
 		})
 	}
--- a/internal/simadapter/malformed_golden_test.go
+++ b/internal/simadapter/malformed_golden_test.go
@@ -28,10 +28,10 @@
 	validOrder = `["order",1,"t",null,null,null,500,"read",false,false,7]` + "\n"
 )
 
-// oneBatch wraps lines in a batch.
+// oneBatch returns a batch that consists of the given lines.
 func oneBatch(lines string) string { return "[\"mark\",10.5]\n" + lines + "[\"go\"]\n" }
 
-// malformedFrames break the framing of lines and batches.
+// malformedFrames are inputs that violate the framing of lines and batches.
 var malformedFrames = []string{
 	"nonsense\n", "{}\n", "[]\n", "[1]\n", "[null,1]\n", `["mark",1`, `"mark"` + "\n",
 	"[\"go\"]\n", "[\"order\",1]\n", "[\"nap\"]\n",
@@ -40,7 +40,7 @@
 	"[\"mark\",1]\n[\"go\"]\n\n[\"mark\",2]\n[\"go\"]\nnonsense\n",
 }
 
-// malformedMessages come within a batch, after instance 1 has started and has been given the request t.
+// malformedMessages are sent within a batch, after instance 1 has started and has received the request t.
 var malformedMessages = []string{
 	`["nap",1]`, `["returned"]`, `["returned",null]`, `["returned","1"]`, `["returned",-1]`, `["returned",1.5]`,
 	`["returned",2147483648]`, `["returned",2]`, `["order",2]`, `["fleet",2]`, `["started",2]`, `["client-left",2]`,
@@ -84,7 +84,7 @@
 	`["boot"]`, `["boot",2]`, `["boot",2,"x",{}]`, `["boot",2,7]`, `["boot",2,7,null]`, `["boot",2,7,[]]`, `["boot",2,7,{}]`,
 }
 
-// malformedSettings are replacements in the valid settings.
+// malformedSettings are pairs of a text in the valid settings and the text that replaces it.
 var malformedSettings = [][2]string{
 	{`"replicas-of-me":2`, `"replicas-of-me":"2"`},
 	{`"replicas-of-me":2`, `"replicas-of-me":0`},
@@ -141,7 +141,7 @@
 	{`"routes":[`, `"unknown":[`},
 }
 
-// TestMalformedGolden pins the one-line error for each way in which an input can be malformed.
+// TestMalformedGolden compares the error for each malformed input with the golden file. Each error is a single line.
 func TestMalformedGolden(t *testing.T) {
 	var table bytes.Buffer
 	record := func(shown, input string) {
@@ -149,11 +149,11 @@
 		var output bytes.Buffer
 		err := simadapter.Serve(strings.NewReader(input), &output)
 		if err == nil {
-			t.Errorf("%s: served without an error", shown)
+			t.Errorf("%s: got no error", shown)
 			return
 		}
 		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error of several lines: %q", shown, err)
+			t.Errorf("%s: got error %q, want a single line", shown, err)
 		}
 		fmt.Fprintf(&table, "%s\n\t%v\n\t%d replies\n", shown, err, strings.Count(output.String(), `["eor"]`))
 	}
@@ -166,23 +166,24 @@
 	for _, change := range malformedSettings {
 		changed := strings.Replace(validSetup, change[0], change[1], 1)
 		if changed == validSetup {
-			t.Fatalf("%s is not in the valid settings", change[0])
+			t.Fatalf("valid settings do not contain %s", change[0])
 		}
 		record(change[0]+" -> "+change[1], oneBatch(strings.Replace(validBoot, validSetup, changed, 1)))
 	}
 	goldentest.Text(t, "malformed.golden", table.String())
 }
 
-// rejectedOrders are rejected with a Retry-After that is drawn from the instance's salt.
+// rejectedOrders are requests that are rejected, with a Retry-After that depends on the instance's salt.
 const rejectedOrders = `["order",1,"t",null,null,null,0,"read"]
 ["order",1,"u",null,null,null,0,"read"]
 ["order",1,"v",null,null,null,0,"read"]
 `
 
-// newNodeList is a list of an endpoint that has no start time: it skips slow start only in a saved list.
+// newNodeList registers a list with an endpoint that has no start time. The endpoint skips slow start only if the list
+// is sent as a saved one.
 const newNodeList = `["register",4,[["std","SERVING",0,null,1,"z","c2"]]]` + "\n"
 
-// orders returns as many requests without a key.
+// orders returns n requests without a key.
 func orders(n int, tenant string) string {
 	var lines strings.Builder
 	for i := range n {
@@ -191,18 +192,18 @@
 	return lines.String()
 }
 
-// lenientInputs are unusual but valid, or are situations that the generated sessions meet by chance only.
+// lenientInputs are unusual but valid inputs, and situations that occur only by chance in the generated sessions.
 var lenientInputs = []struct{ name, input string }{
-	{"nothing at all", ""},
+	{"empty input", ""},
 	{"empty lines between batches", "\n\n" + oneBatch("") + "\n" + oneBatch("")},
 	{"spaces and CRLF at line ends", strings.ReplaceAll(oneBatch(validBoot+validOrder), "\n", "  \r\n")},
-	{"no line end behind the last line", strings.TrimSuffix(oneBatch(validBoot+validOrder), "\n")},
-	{"unknown fields behind the known ones", oneBatch(validBoot + strings.Replace(validOrder, ",7]", ",7,\"new\",{}]", 1))},
+	{"no line ending after the last line", strings.TrimSuffix(oneBatch(validBoot+validOrder), "\n")},
+	{"unknown fields after the known ones", oneBatch(validBoot + strings.Replace(validOrder, ",7]", ",7,\"new\",{}]", 1))},
 	{"unknown settings", oneBatch(strings.Replace(validBoot, `{"replicas`, `{"new":[{}],"replicas`, 1) + validOrder)},
 	{"line longer than the buffer", oneBatch(validBoot + strings.Replace(validOrder, `null`, strings.Repeat(" ", 1<<17)+`null`, 1))},
 	{"ids that need escapes", oneBatch(validBoot + `["order",1,"t \"é\\\n",null,null,null,500,"read",false,false,7]` + "\n")},
 	{"names that need escapes", oneBatch(strings.ReplaceAll(validBoot, `"c1"`, `"c\u00e9\"1"`) + validOrder)},
-	{"whole salt", oneBatch(validBoot + rejectedOrders)},
+	{"integer salt", oneBatch(validBoot + rejectedOrders)},
 	{"largest salt", oneBatch(strings.Replace(validBoot, "99", "18446744073709551615", 1) + rejectedOrders)},
 	{"negative salt", oneBatch(strings.Replace(validBoot, "99", "-99", 1) + rejectedOrders)},
 	{"fractional salt", oneBatch(strings.Replace(validBoot, "99", "9.5", 1) + rejectedOrders)},
@@ -214,22 +215,22 @@
 	{"first list is not a saved one", oneBatch(strings.Replace(validBoot, "SAVED", "FULL", 1) + validOrder)},
 	{"saved list again, of a new node", oneBatch(validBoot + newNodeList + `["fleet",1,2,4,"SAVED"]` + "\n" + orders(6, "null"))},
 	{"full list of a new node", oneBatch(validBoot + newNodeList + `["fleet",1,2,4,"FULL"]` + "\n" + orders(6, "null"))},
-	{"burst of a tenant beyond its share", oneBatch(validBoot + orders(60, `"acme"`))},
+	{"burst of a tenant beyond its quota", oneBatch(validBoot + orders(60, `"acme"`))},
 	{"burst without a tenant", oneBatch(validBoot + orders(60, "null"))},
-	{"no list at all", oneBatch(strings.Split(validBoot, "\n")[1] + "\n" + validOrder)},
+	{"no endpoint list", oneBatch(strings.Split(validBoot, "\n")[1] + "\n" + validOrder)},
 	{"boot of a running instance", oneBatch(validBoot+validOrder) + oneBatch(validBoot+validOrder)},
-	{"id used again after its end", oneBatch(validBoot+validOrder) +
+	{"id reused after its request has finished", oneBatch(validBoot+validOrder) +
 		oneBatch(`["returned",1,"t","c1",0,1,4.5,"pass",true,null]`+"\n") + oneBatch(validOrder)},
-	{"remaining of nothing, and less", oneBatch(validBoot + strings.Replace(validOrder, "500", "0", 1) +
+	{"zero and negative remaining time", oneBatch(validBoot + strings.Replace(validOrder, "500", "0", 1) +
 		strings.NewReplacer("500", "-5", `"t"`, `"u"`).Replace(validOrder))},
 	{"times rounded to tenths", oneBatch(validBoot + strings.Replace(validOrder, "500", "500.0499", 1) +
 		strings.NewReplacer("500", "500.05", `"t"`, `"u"`).Replace(validOrder))},
-	{"peer tells of a node", oneBatch(validBoot + `["from-peer",1,1,"hi 7"]` + "\n" + `["from-peer",1,1]` + "\n" + validOrder)},
+	{"malformed and empty reports of a peer", oneBatch(validBoot + `["from-peer",1,1,"hi 7"]` + "\n" + `["from-peer",1,1]` + "\n" + validOrder)},
 	{"second outcome of an attempt", oneBatch(validBoot+validOrder) + oneBatch(strings.Repeat(
 		`["returned",1,"t","c1",0,2,4.5,"none_here",false,{"x0":0.4}]`+"\n", 2))},
 }
 
-// TestLenientGolden pins the output for inputs that are unusual, but served.
+// TestLenientGolden compares the output for unusual but valid inputs with the golden file.
 func TestLenientGolden(t *testing.T) {
 	var table bytes.Buffer
 	for _, c := range lenientInputs {
