--- a/internal/simadapter/retry_group_golden_test.go
+++ b/internal/simadapter/retry_group_golden_test.go
@@ -14,8 +14,8 @@
 
 var attemptLine = regexp.MustCompile(`\["try",1,"(t\d+)",[\d.]+,"(\w+)"\]`)
 
-// TestRetryGroupGolden pins to which endpoints deduplicated requests are retried when their connections were reset:
-// the endpoints' zones and cells cross, so that each group permits others.
+// TestRetryGroupGolden checks on which endpoints deduplicated requests are retried after a connection reset. Each
+// combination of zone and cell has one endpoint, so that each retry group permits a different set of endpoints.
 func TestRetryGroupGolden(t *testing.T) {
 	const nodes = `["register",3,[["std","SERVING",0,null,1,"z","c1"],["std","SERVING",1,null,1,"z","c2"],` +
 		`["std","SERVING",0,null,1,"y","c3"],["std","SERVING",1,null,1,"y","c4"]]]`
@@ -30,7 +30,7 @@
 		}
 		attempts := attemptLine.FindAllStringSubmatch(reply.String(), -1)
 		if len(attempts) != 8 {
-			t.Fatalf("%d attempts, want 8:\n%s", len(attempts), reply.String())
+			t.Fatalf("got %d attempts, want 8:\n%s", len(attempts), reply.String())
 		}
 		var outcomes strings.Builder
 		for _, attempt := range attempts {
--- a/internal/simadapter/session_events_test.go
+++ b/internal/simadapter/session_events_test.go
@@ -15,15 +15,15 @@
 	g.running[instance] = true
 }
 
-// presentNodes returns the nodes of a whole list, which names none that were deleted.
+// presentNodes returns the nodes of a complete endpoint list, which excludes deleted nodes.
 func (g *sessionGenerator) presentNodes() []*endpointNode {
-	var presentNodes []*endpointNode
+	var present []*endpointNode
 	for _, n := range g.fleet {
 		if n.state != "DELETED" {
-			presentNodes = append(presentNodes, n)
+			present = append(present, n)
 		}
 	}
-	return presentNodes
+	return present
 }
 
 func (g *sessionGenerator) register(nodes []*endpointNode) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// restartInstances kills an instance now and then, and starts it anew at once or later.
+// restartInstances occasionally kills an instance, and restarts it immediately or in a later batch.
 func (g *sessionGenerator) restartInstances() {
 	for i := range g.shape.instances {
 		instance := g.shape.firstInstance + i
@@ -60,7 +60,7 @@
 	}
 }
 
-// discardPending voids whatever was on its way to an instance.
+// discardPending discards all events that are scheduled for an instance.
 func (g *sessionGenerator) discardPending(instance int) {
 	delete(g.running, instance)
 	g.requests = without(g.requests, func(r *clientRequest) bool { return r.instance == instance })
@@ -71,7 +71,7 @@
 	g.lists = without(g.lists, func(l listReply) bool { return l.instance == instance })
 }
 
-// without returns the items for which drop doesn't hold, in their order.
+// without returns the items for which drop reports false, in their order.
 func without[T any](items []T, drop func(T) bool) []T {
 	var kept []T
 	for _, item := range items {
@@ -94,7 +94,7 @@
 	}
 }
 
-// changeFleet drains, deletes, restarts, adds or reweighs a node and sends out the change.
+// changeFleet drains, deletes, restarts, adds or reweights a node and sends the change to the instances.
 func (g *sessionGenerator) changeFleet() {
 	if g.batches%11 != 7 {
 		return
@@ -102,11 +102,11 @@
 	n := g.fleet[g.random.below(len(g.fleet))]
 	switch {
 	case n.state == "DELETED", n.state == "DRAINING" && g.random.percent(50):
-		n.state, n.since, n.behavior = "SERVING", g.clock, healthy // it comes back after a restart
+		n.state, n.since, n.behavior = "SERVING", g.clock, healthy // the node returns after a restart
 	case n.state == "DRAINING":
 		n.state = "DELETED"
 	default:
-		n = g.changeServing(n)
+		n = g.changeServingNode(n)
 	}
 	g.version++
 	if g.random.percent(25) {
@@ -118,9 +118,9 @@
 	g.sendLists("INCREMENTAL")
 }
 
-// changeServing restarts, reweighs or drains a serving node, or adds another one, and returns the node that changed.
-// Each chance is drawn only where the one before did not hold.
-func (g *sessionGenerator) changeServing(n *endpointNode) *endpointNode {
+// changeServingNode restarts, reweights or drains a serving node, or adds another node, and returns the changed node. Each
+// random number is drawn only if the previous one did not select a change.
+func (g *sessionGenerator) changeServingNode(n *endpointNode) *endpointNode {
 	if g.random.percent(30) {
 		n.since = g.clock
 		return n
@@ -146,8 +146,8 @@
 	}
 }
 
-// answerListPolls replies to calls of follow, which may fail.
-func (g *sessionGenerator) answerListPolls() {
+// sendPolledLists sends the results of the endpoint list polls (follow messages) that are due. A poll can fail.
+func (g *sessionGenerator) sendPolledLists() {
 	for _, l := range g.lists {
 		if l.dueAt > g.clock {
 			continue
@@ -171,7 +171,7 @@
 	g.timers = without(g.timers, func(t timer) bool { return t.dueAt <= g.clock })
 }
 
-func (g *sessionGenerator) endAttempts() {
+func (g *sessionGenerator) finishAttempts() {
 	for _, a := range g.attempts {
 		r := a.request
 		if a.startsAt > 0 && !a.started && a.startsAt <= g.clock && !r.finished {
@@ -196,11 +196,11 @@
 	g.messages = without(g.messages, func(m peerMessage) bool { return m.dueAt <= g.clock })
 }
 
-// endClients ends the requests of clients that go early or whose answer is past due.
-func (g *sessionGenerator) endClients() {
+// disconnectClients cancels the requests of clients that disconnect early or have waited past their deadline.
+func (g *sessionGenerator) disconnectClients() {
 	for _, r := range g.requests {
 		early := r.cancelsAt > 0 && r.cancelsAt <= g.clock
-		due := !r.streaming && r.deadline+answerSlack <= g.clock
+		due := !r.streaming && r.deadline+disconnectSlack <= g.clock
 		if !r.finished && (early || due) {
 			r.finished = true
 			g.emit("client-left", r.instance, r.id)
@@ -211,14 +211,14 @@
 func (g *sessionGenerator) retryRequests() {
 	for _, r := range g.retries {
 		if r.dueAt <= g.clock && g.running[r.of.instance] {
-			g.arrive(r.of.instance, r.of.route, r.of.key, true)
+			g.addRequest(r.of.instance, r.of.route, r.of.key, true)
 		}
 	}
 	g.retries = without(g.retries, func(r clientRetry) bool { return r.dueAt <= g.clock })
 }
 
-// arriveRequests brings one or a few new requests, and many in each fourth stretch of batches.
-func (g *sessionGenerator) arriveRequests() {
+// addNewRequests sends up to three new requests, and four more in the last eight of each 32 batches.
+func (g *sessionGenerator) addNewRequests() {
 	many := g.random.below(4)
 	if g.batches/8%4 == 3 {
 		many += 4
@@ -226,12 +226,12 @@
 	for range many {
 		instance := g.shape.firstInstance + g.random.below(g.shape.instances)
 		if g.running[instance] {
-			g.arrive(instance, g.shape.routes[g.random.below(len(g.shape.routes))], g.pickKey(), false)
+			g.addRequest(instance, g.shape.routes[g.random.below(len(g.shape.routes))], g.pickKey(), false)
 		}
 	}
 }
 
-// pickKey returns a key, nearly always one of a few hot ones, or none.
+// pickKey returns no key, one of a few hot keys, or a random key.
 func (g *sessionGenerator) pickKey() any {
 	switch n := g.random.below(100); {
 	case n < 10:
@@ -245,7 +245,7 @@
 	}
 }
 
-func (g *sessionGenerator) arrive(instance int, route routeShape, key any, isRetry bool) {
+func (g *sessionGenerator) addRequest(instance int, route routeShape, key any, isRetry bool) {
 	g.ids++
 	remaining := int64(route.overall * millisecond)
 	if isRetry {
@@ -274,7 +274,7 @@
 	return g.shape.tenants[g.random.below(len(g.shape.tenants))]
 }
 
-// addIgnoredMessages sends what is legal but of no use to the instance.
+// addIgnoredMessages occasionally sends a valid message that the instance ignores.
 func (g *sessionGenerator) addIgnoredMessages() {
 	instance := g.shape.firstInstance + g.random.below(g.shape.instances)
 	if !g.running[instance] || !g.random.percent(20) {
--- a/internal/simadapter/session_generator_test.go
+++ b/internal/simadapter/session_generator_test.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	loadBatches  = 100 // batches in which requests arrive
-	drainBatches = 14  // batches after these, in which the rest ends
-	firstClock   = 5_000_250
-	millisecond  = 1000 // the generator counts microseconds, as the simulator does
-	answerSlack  = 20 * millisecond
+	loadBatches     = 100 // number of batches in which requests arrive
+	drainBatches    = 14  // number of final batches, in which open requests finish and no new ones arrive
+	firstClock      = 5_000_250
+	millisecond     = 1000             // the generator counts microseconds, as the simulator does
+	disconnectSlack = 20 * millisecond // time after a request's deadline at which its client disconnects
 )
 
-// sessionGenerator plays the simulator: Serve reads the batches that it makes, and each reply is taken into account
-// before the next batch is made.
+// sessionGenerator takes the place of the simulator. It generates the batches that Serve reads, and processes the reply to each
+// batch before it generates the next one.
 type sessionGenerator struct {
 	t          *testing.T
 	shape      *sessionShape
 	random     random
 	clock      int64
 	batches    int
-	pending    []byte   // of the batch that is being read
-	lines      []string // of the batch that is being made
+	pending    []byte   // unread part of the current batch
+	lines      []string // lines of the batch that is being generated
 	reply      bytes.Buffer
 	input      bytes.Buffer
 	output     bytes.Buffer
@@ -45,7 +45,7 @@
 	ids        int
 }
 
-// generateSession returns a session's input and output lines.
+// generateSession runs a session and returns its input and output lines.
 func generateSession(t *testing.T, shape *sessionShape) (input, output []byte) {
 	t.Helper()
 	g := &sessionGenerator{t: t, shape: shape, random: random{shape.seed}, clock: firstClock, running: map[int]bool{}}
@@ -56,7 +56,8 @@
 	return g.input.Bytes(), g.output.Bytes()
 }
 
-// Read gives out the batches one by one. Serve asks for the next one only when it has flushed its last reply.
+// Read returns the batches one by one. Serve reads the next batch only after it has flushed its reply to the previous
+// one.
 func (g *sessionGenerator) Read(p []byte) (int, error) {
 	if len(g.pending) == 0 {
 		g.takeReply()
@@ -77,7 +78,7 @@
 	return int64(n * millisecond)
 }
 
-// emit adds a line to the batch.
+// emit appends a message to the batch.
 func (g *sessionGenerator) emit(values ...any) {
 	g.t.Helper()
 	line, err := json.Marshal(values)
@@ -115,13 +116,13 @@
 	return "small"
 }
 
-// makeBatch builds one batch and records it.
+// makeBatch generates one batch and records it in the session's input.
 func (g *sessionGenerator) makeBatch() {
 	g.lines = g.lines[:0]
 	g.advanceClock()
 	g.emit("mark", milliseconds(g.clock))
 	switch g.batches {
-	case 0: // an empty one, as the simulator begins
+	case 0: // the simulator starts with an empty batch
 	case 1:
 		g.bootAll()
 	case loadBatches + drainBatches - 1:
@@ -147,24 +148,25 @@
 }
 
 func (g *sessionGenerator) makeEvents() {
-	// a reply may still name what ended by another event of its batch
+	// Finished requests are removed only now, since the reply to the previous batch may still name a request that
+	// finished in that batch.
 	g.requests = without(g.requests, func(r *clientRequest) bool { return r.finished })
 	g.changeBehaviors()
 	g.changeFleet()
 	g.restartInstances()
-	g.answerListPolls()
-	if g.random.percent(50) { // either order happens within a batch
+	g.sendPolledLists()
+	if g.random.percent(50) { // both orders occur within a batch
 		g.fireTimers()
-		g.endAttempts()
+		g.finishAttempts()
 	} else {
-		g.endAttempts()
+		g.finishAttempts()
 		g.fireTimers()
 	}
 	g.deliverMessages()
-	g.endClients()
+	g.disconnectClients()
 	if g.batches < loadBatches {
 		g.retryRequests()
-		g.arriveRequests()
+		g.addNewRequests()
 		g.addIgnoredMessages()
 	}
 }
--- a/internal/simadapter/session_golden_test.go
+++ b/internal/simadapter/session_golden_test.go
@@ -14,7 +14,7 @@
 	"woodproxy/internal/simadapter"
 )
 
-// Texts of log lines are for people and may change; that a line is logged may not.
+// logText matches log lines. The golden files record that a line is logged, but not its text, which may change.
 var logText = regexp.MustCompile(`(?m)^(\["say-log",\d+,).*$`)
 
 func blankLogTexts(output []byte) []byte { return logText.ReplaceAll(output, []byte(`$1""]`)) }
@@ -22,8 +22,8 @@
 func inputFile(shape *sessionShape) string  { return "session_" + shape.name + ".in" }
 func outputFile(shape *sessionShape) string { return "session_" + shape.name + ".out" }
 
-// TestSessionGenerated generates each session anew, with the code's own replies, and compares both directions with
-// what was recorded.
+// TestSessionGenerated generates each session again, with the replies of the current code, and compares its input and
+// output with the recorded ones.
 func TestSessionGenerated(t *testing.T) {
 	for i := range sessionShapes {
 		shape := &sessionShapes[i]
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestSessionReplayed replays the recorded inputs, whose outputs must be the recorded ones.
+// TestSessionReplayed replays the recorded inputs and compares the outputs with the recorded ones.
 func TestSessionReplayed(t *testing.T) {
 	for i := range sessionShapes {
 		shape := &sessionShapes[i]
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestSessionCoverage checks that the recorded sessions hold each kind of message and each value of the enumerated
-// fields, so that none of them falls out of a newly recorded one.
+// TestSessionCoverage checks that the recorded sessions contain each kind of message and each value of the enumerated
+// fields, so that updated recordings do not lose any of them.
 func TestSessionCoverage(t *testing.T) {
 	var inputs, outputs strings.Builder
 	for i := range sessionShapes {
@@ -63,7 +63,7 @@
 		"timeout-fired", "returned", "sampled", "from-peer", "power-off",
 	} {
 		if !strings.Contains(inputs.String(), "\n[\""+kind+"\"") {
-			t.Errorf("no %s among the inputs", kind)
+			t.Errorf("recorded inputs contain no %s message", kind)
 		}
 	}
 	for _, value := range []string{
@@ -71,7 +71,7 @@
 		"none_here", "INCREMENTAL", "FULL", "SAVED", "FAILED", "SERVING", "DRAINING", "DELETED",
 	} {
 		if !strings.Contains(inputs.String(), `,"`+value+`"`) {
-			t.Errorf("no %s among the inputs", value)
+			t.Errorf("recorded inputs contain no value %s", value)
 		}
 	}
 	for _, kind := range []string{
@@ -79,15 +79,15 @@
 		"say-log",
 	} {
 		if !strings.Contains(outputs.String(), "\n[\""+kind+"\"") {
-			t.Errorf("no %s among the outputs", kind)
+			t.Errorf("recorded outputs contain no %s message", kind)
 		}
 	}
 	if !regexp.MustCompile(`"publish",\d+,\d+,"\w+\+"`).MatchString(outputs.String()) {
-		t.Error("no peer is notified that a node responds again")
+		t.Error("recorded outputs contain no report to a peer that an endpoint responds again")
 	}
 }
 
-// TestSimhostBinary replays a session and a malformed input through the command.
+// TestSimhostBinary replays the sessions and a malformed input through the simhost command.
 func TestSimhostBinary(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "simhost")
 	build := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "woodproxy/cmd/simhost")
@@ -114,7 +114,7 @@
 			}
 			want := []byte(goldentest.Read(t, outputFile(shape)))
 			if !bytes.Equal(blankLogTexts(output), want) {
-				t.Errorf("%s: the command's output differs from the recorded one", shape.name)
+				t.Errorf("%s: output of the command differs from the recorded output", shape.name)
 			}
 		})
 	}
@@ -122,9 +122,9 @@
 	command := exec.CommandContext(t.Context(), binary)
 	command.Stdin, command.Stdout, command.Stderr = strings.NewReader("nonsense\n"), &stdout, &stderr
 	if err := command.Run(); err == nil || command.ProcessState.ExitCode() != 1 {
-		t.Errorf("malformed input: %v, want exit code 1", err)
+		t.Errorf("malformed input: got %v, want exit code 1", err)
 	}
 	if stdout.Len() > 0 || stderr.String() != "simhost: line 1: not JSON\n" {
-		t.Errorf("malformed input: stdout %q, stderr %q", stdout.String(), stderr.String())
+		t.Errorf("malformed input: got stdout %q, stderr %q, want no output and one error line", stdout.String(), stderr.String())
 	}
 }
--- a/internal/simadapter/session_model_test.go
+++ b/internal/simadapter/session_model_test.go
@@ -1,8 +1,9 @@
 package simadapter_test
 
-// Times and durations of the generator are in microseconds.
+// The generator's times and durations are in microseconds.
 
-// random is a splitmix64 generator; the standard library's may change its numbers between versions.
+// random is a splitmix64 generator. The recorded sessions depend on its numbers, and those of the standard library's
+// generator may change between Go versions.
 type random struct{ state uint64 }
 
 func (r *random) next() uint64 {
@@ -21,10 +22,10 @@
 	return least + int64(r.below(int(most-least+1)))
 }
 
-// percent holds by chance.
+// percent returns true with a probability of p percent.
 func (r *random) percent(p int) bool { return r.below(100) < p }
 
-// behavior is how a cache node or an origin behaves for a while.
+// behavior is the current behavior of a cache node or an origin.
 type behavior int
 
 const (
@@ -37,7 +38,7 @@
 	behaviorCount
 )
 
-// endpointNode is a cache node or an origin of the generated site.
+// endpointNode is a cache node or an origin of the generated fleet.
 type endpointNode struct {
 	name, kind, zone, state string
 	cell                    int
@@ -46,7 +47,7 @@
 	behavior                behavior
 }
 
-// row is the node's entry in a register message.
+// row returns the node's entry in a register message.
 func (n *endpointNode) row() []any {
 	var since any = milliseconds(n.since)
 	if n.since == 0 {
@@ -55,40 +56,40 @@
 	return []any{n.kind, n.state, n.cell, since, n.weight, n.zone, n.name}
 }
 
-// clientRequest is a request that an instance was given.
+// clientRequest is a request sent to an instance.
 type clientRequest struct {
 	instance  int
 	id        string
 	route     routeShape
 	key       any
 	deadline  int64
-	cancelsAt int64 // 0: the client stays until its deadline
+	cancelsAt int64 // 0 if the client waits until its deadline
 	attempts  int
 	finished  bool
 	streaming bool
 }
 
-// upstreamAttempt is an attempt that an instance decided on, with the outcome that was drawn for it.
+// upstreamAttempt is an attempt requested by an instance, with its randomly chosen outcome.
 type upstreamAttempt struct {
 	request      *clientRequest
 	node         string
 	number       int
 	sent         int64
-	startsAt     int64 // of a stream; 0: none
+	startsAt     int64 // start of the response's stream; 0 if the response is not streamed
 	started      bool
 	endsAt       int64
 	outcome      string
-	note, report any // both are ignored
+	note, report any // fields that the adapter ignores
 }
 
-// timer is one that an instance asked for.
+// timer is a timer set by an instance.
 type timer struct {
 	instance int
 	dueAt    int64
-	mark     any // its number
+	mark     any // number of the timer
 }
 
-// peerMessage is a report on its way to a peer.
+// peerMessage is a report in transit to a peer.
 type peerMessage struct {
 	instance, from int
 	dueAt          int64
--- a/internal/simadapter/session_replies_test.go
+++ b/internal/simadapter/session_replies_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// takeReply records the reply to the last batch and does what its lines ask for.
+// takeReply records the reply to the previous batch and applies its lines.
 func (g *sessionGenerator) takeReply() {
 	g.t.Helper()
 	text := g.reply.String()
@@ -44,11 +44,11 @@
 		g.publish(instance, g.shape.firstInstance+int(values[2].(float64)), values[3])
 	case "say-log":
 	default:
-		g.t.Fatalf("output line of unknown kind: %s", line)
+		g.t.Fatalf("unknown message in output line: %s", line)
 	}
 }
 
-// request finds the request that an output line names; it must have been open when the batch began.
+// request returns the request that an output line names, which must have been open at the start of the batch.
 func (g *sessionGenerator) request(line string, instance int, id any) *clientRequest {
 	g.t.Helper()
 	for _, r := range g.requests {
@@ -77,7 +77,7 @@
 		a.startsAt = g.clock + (a.endsAt-g.clock)/2
 	}
 	if limit := min(g.clock+timeout, r.deadline); a.startsAt == 0 && a.endsAt > limit {
-		a.endsAt, a.outcome = limit+g.random.between(0, 32)*250, "too_slow" // some reach the instance late
+		a.endsAt, a.outcome = limit+g.random.between(0, 32)*250, "too_slow" // some of the outcomes reach the instance after the timeout
 	}
 }
 
@@ -88,24 +88,24 @@
 			return n
 		}
 	}
-	g.t.Fatalf("an attempt at node %q, which was in no list", name)
+	g.t.Fatalf("attempt on node %q, which is in no endpoint list", name)
 	return nil
 }
 
-// pickOutcome draws how an attempt ends, by the state the node is in.
+// pickOutcome chooses the outcome of an attempt at random, depending on the node's behavior.
 func (g *sessionGenerator) pickOutcome(r *clientRequest, n *endpointNode) string {
 	if r.finished {
 		return "stale_send"
 	}
-	lucky := g.random.percent(15)
+	healthyNow := g.random.percent(15) // faulty nodes handle some attempts without a fault
 	switch {
 	case n.behavior == silent:
 		return "too_slow"
-	case n.behavior == unreachable && !lucky:
+	case n.behavior == unreachable && !healthyNow:
 		return "no_route"
-	case n.behavior == overloaded && !lucky:
+	case n.behavior == overloaded && !healthyNow:
 		return "no_room"
-	case n.behavior == faulty && !lucky:
+	case n.behavior == faulty && !healthyNow:
 		return "fault"
 	}
 	if g.shape.aside && n.kind != "origin" && g.random.percent(35) {
@@ -121,7 +121,7 @@
 func (g *sessionGenerator) pickDuration(outcome string, n *endpointNode) int64 {
 	switch {
 	case outcome == "too_slow":
-		return 1000 * millisecond // cut to the time-out
+		return 1000 * millisecond // startAttempt reduces this to the attempt's timeout
 	case outcome == "stale_send":
 		return 250
 	case outcome == "no_room", outcome == "no_route":
@@ -134,7 +134,8 @@
 	return g.random.between(12, 100) * 250
 }
 
-// cancelAttempt ends an attempt as undone, unless another outcome is on the way or its stream has started.
+// cancelAttempt cancels an attempt, unless its stream has started. At random, some attempts keep their outcome, as if
+// the cancellation came too late.
 func (g *sessionGenerator) cancelAttempt(instance int, id any, number int) {
 	for _, a := range g.attempts {
 		if a.request.instance != instance || a.request.id != id || a.number != number || a.started {
@@ -158,8 +159,8 @@
 }
 
 func (g *sessionGenerator) pollList(instance int) {
-	if !g.shape.ask {
-		g.t.Fatal("a call for the list where it is pushed")
+	if !g.shape.pollsLists {
+		g.t.Fatal("got a poll for the endpoint list in push mode")
 	}
 	mode := "FULL"
 	if g.random.percent(40) {
@@ -168,7 +169,7 @@
 	g.lists = append(g.lists, listReply{instance, g.clock + 15*millisecond, mode})
 }
 
-// publish delivers most messages to a peer; some are lost.
+// publish schedules the delivery of a report to a peer. A fifth of the reports are lost.
 func (g *sessionGenerator) publish(from, to int, payload any) {
 	if !g.running[to] || g.random.percent(20) {
 		return
--- a/internal/simadapter/session_shapes_test.go
+++ b/internal/simadapter/session_shapes_test.go
@@ -8,28 +8,28 @@
 	"testing"
 )
 
-// routeShape is what the generator needs to know of a route in the settings.
+// routeShape describes a route of the settings to the generator.
 type routeShape struct {
 	name    string
 	overall float64 // milliseconds
 	stream  bool
-	writes  bool // some of its requests are writes
+	writes  bool // whether some of the route's requests are writes
 }
 
-// sessionShape is one kind of site: its settings and what the generator may do under them.
+// sessionShape describes one generated session: the settings of its instances and the parameters of the generator.
 type sessionShape struct {
 	name          string
 	seed          uint64
-	pace          int64 // microseconds, of which each batch takes two to fourteen
-	firstInstance int   // instance numbers begin here, so that they differ from the numbers among peers
+	pace          int64 // microseconds; the clock advances by 2 to 14 times as much per batch under load
+	firstInstance int   // lowest instance number; above 0 in most sessions, so that instance numbers differ from peer indices
 	instances     int
-	settings      string // ME stands for the instance's number among its peers
+	settings      string // JSON, in which ME is replaced by the instance's index among its peers
 	routes        []routeShape
 	tenants       []string
 	caches        int
 	origins       int
-	aside         bool // caches answer none_here
-	ask           bool // lists come only when asked for
+	aside         bool // whether caches return none_here, after which the origin is tried
+	pollsLists    bool // whether instances poll for endpoint lists; otherwise lists are pushed
 }
 
 // setup returns the settings of one instance on one line.
@@ -72,7 +72,7 @@
 					"effect": "token", "group": "all", "dedup-window": 5000}]}`,
 	},
 	{
-		name: "asked_peers", seed: 22, pace: 2750, firstInstance: 4, instances: 3, caches: 5, ask: true,
+		name: "asked_peers", seed: 22, pace: 2750, firstInstance: 4, instances: 3, caches: 5, pollsLists: true,
 		routes: []routeShape{
 			{name: "lookup", overall: 200},
 			{name: "stream", overall: 300, stream: true},
