--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -114,7 +114,11 @@
 		{"time remaining mistyped", batch(opening + "[\"order\",1,\"t\",null,null,null,\"5\",\"read\"]\n"), "line 5: order: remaining: mistyped"},
 		{"unknown route", batch(opening + "[\"order\",1,\"t\",null,null,null,5,\"write\"]\n"), "line 5: order: kind: not in the settings"},
 		{"unknown outcome", batch(opening + "[\"returned\",1,\"t\",\"c1\",0,null,5,\"nap\"]\n"), "line 5: returned: ending: out of its range"},
-		{"unlisted endpoint", batch(opening + "[\"returned\",1,\"t\",\"c9\",0,null,5,\"pass\"]\n"), "line 5: returned: node: not in any endpoint list"},
+		{
+			"unlisted endpoint",
+			batch(opening + "[\"returned\",1,\"t\",\"c9\",0,null,5,\"pass\"]\n"),
+			"line 5: returned: node: not in any endpoint list",
+		},
 		{"timer number missing", batch(opening + "[\"timeout-fired\",1]\n"), "line 5: timeout-fired: mark: missing"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/simadapter/malformed_golden_test.go
+++ b/internal/simadapter/malformed_golden_test.go
@@ -225,7 +225,8 @@
 		strings.NewReplacer("500", "-5", `"t"`, `"u"`).Replace(validOrder))},
 	{"times rounded to tenths", oneBatch(validBoot + strings.Replace(validOrder, "500", "500.0499", 1) +
 		strings.NewReplacer("500", "500.05", `"t"`, `"u"`).Replace(validOrder))},
-	{"malformed and empty reports of a peer", oneBatch(validBoot + `["from-peer",1,1,"hi 7"]` + "\n" + `["from-peer",1,1]` + "\n" + validOrder)},
+	{"malformed and empty reports of a peer", oneBatch(validBoot + `["from-peer",1,1,"hi 7"]` + "\n" +
+		`["from-peer",1,1]` + "\n" + validOrder)},
 	{"second outcome of an attempt", oneBatch(validBoot+validOrder) + oneBatch(strings.Repeat(
 		`["returned",1,"t","c1",0,2,4.5,"none_here",false,{"x0":0.4}]`+"\n", 2))},
 }
--- a/internal/simadapter/session_generator_test.go
+++ b/internal/simadapter/session_generator_test.go
@@ -19,8 +19,8 @@
 	disconnectSlack = 20 * millisecond // time after a request's deadline at which its client disconnects
 )
 
-// sessionGenerator takes the place of the simulator. It generates the batches that Serve reads, and processes the reply to each
-// batch before it generates the next one.
+// sessionGenerator takes the place of the simulator. It generates the batches that Serve reads, and processes the reply
+// to each batch before it generates the next one.
 type sessionGenerator struct {
 	t          *testing.T
 	shape      *sessionShape
--- a/internal/simadapter/session_replies_test.go
+++ b/internal/simadapter/session_replies_test.go
@@ -77,7 +77,8 @@
 		a.startsAt = g.clock + (a.endsAt-g.clock)/2
 	}
 	if limit := min(g.clock+timeout, r.deadline); a.startsAt == 0 && a.endsAt > limit {
-		a.endsAt, a.outcome = limit+g.random.between(0, 32)*250, "too_slow" // some of the outcomes reach the instance after the timeout
+		// Some of the outcomes reach the instance after the timeout.
+		a.endsAt, a.outcome = limit+g.random.between(0, 32)*250, "too_slow"
 	}
 }
 
