--- a/internal/testscript/doc.go
+++ b/internal/testscript/doc.go
@@ -1,5 +1,6 @@
-// Package testscript runs the script files of tests: text files with one step a line, whose words are separated by
-// blanks. Lines that begin with # are comments. The test of each package says what the steps mean, by a Runner.
+// Package testscript runs script files in tests. A script is a text file with one step per line, whose words are
+// separated by white space. Lines that begin with # are comments. Each test package implements Runner to define the
+// meaning of the steps.
 //
-// It is imported by tests only.
+// Only tests import this package.
 package testscript
--- a/internal/testscript/words.go
+++ b/internal/testscript/words.go
@@ -6,38 +6,38 @@
 	"strings"
 )
 
-// presentValue is the value of a word that stands without one.
-const presentValue = "1"
+// defaultValue is the value of a word that has none.
+const defaultValue = "1"
 
-// ParseArguments returns the values of key=value words by key; a word without a value has the value "1". Of words with the same
-// key, the last counts.
-func ParseArguments(w []string) map[string]string {
-	values := make(map[string]string, len(w))
-	for _, word := range w {
+// ParseArguments returns the values of key=value words by key. A word without "=" is a key with the value "1". If
+// several words have the same key, the last one takes precedence.
+func ParseArguments(words []string) map[string]string {
+	values := make(map[string]string, len(words))
+	for _, word := range words {
 		key, value, ok := strings.Cut(word, "=")
 		if !ok {
-			value = presentValue
+			value = defaultValue
 		}
 		values[key] = value
 	}
 	return values
 }
 
-// ParseNumber returns the number that a word states; an empty word, as of a key that is not there, is 0. It panics on any other
-// text, since that is an error in the script and not in what is tested.
+// ParseNumber parses a decimal number. It returns 0 for an empty word, which is the value of an absent key. It panics on
+// any other text, since that is an error in the script and not in the code under test.
 func ParseNumber(s string) float64 {
 	if s == "" {
 		return 0
 	}
 	number, err := strconv.ParseFloat(s, 64)
 	if err != nil {
-		panic(fmt.Sprintf("not a number in a scenario: %s", s))
+		panic(fmt.Sprintf("script: invalid number: %s", s))
 	}
 	return number
 }
 
-// Compare reports whether got stands in the relation op ("=", "<=" or ">=") to want. It panics on any other relation,
-// since that is an error in the script and not in what is tested.
+// Compare reports whether "got op want" is true, where op is "=", "<=" or ">=". It panics on any other operator, since
+// that is an error in the script and not in the code under test.
 func Compare(got int, op string, want int) bool {
 	switch op {
 	case "=":
@@ -47,5 +47,5 @@
 	case ">=":
 		return got >= want
 	}
-	panic("no comparison in a scenario: " + op)
+	panic("script: unknown comparison operator: " + op)
 }
