--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Simhost plays the decision module on the simulator's wire, on standard input and output.
+// Simhost runs balancers under the simulator. It reads the simulator's protocol from standard input and writes replies
+// to standard output.
 package main
 
 import (
--- a/internal/goldentest/encoding.go
+++ b/internal/goldentest/encoding.go
@@ -10,14 +10,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Encoding is one line of a golden file: the name of a case and its encoded bytes.
+// Encoding is one line of a golden file: the name of a test case and the encoded bytes.
 type Encoding struct {
 	Name    string
 	Encoded []byte
 }
 
-// Encodings compares encodings with a golden file, which holds one line "name hex" for each of them in the same order,
-// and returns the bytes that the file holds.
+// Encodings compares encodings with a golden file, which contains a line "name hex" for each encoding in the same order.
+// It returns the bytes in the golden file.
 func Encodings(t *testing.T, name string, encodings []Encoding) [][]byte {
 	t.Helper()
 	if *update {
@@ -29,23 +29,23 @@
 	}
 	golden := ReadEncodings(t, name)
 	if len(golden) != len(encodings) {
-		t.Fatalf("%s: %d lines for %d cases", name, len(golden), len(encodings))
+		t.Fatalf("%s: got %d lines, want %d, one per case", name, len(golden), len(encodings))
 	}
 	all := make([][]byte, len(golden))
 	for i, want := range golden {
 		got := encodings[i]
 		if got.Name != want.Name {
-			t.Fatalf("%s: line %d is case %q, want %q", name, i+1, want.Name, got.Name)
+			t.Fatalf("%s:%d: got case %q, want %q", name, i+1, want.Name, got.Name)
 		}
 		if string(got.Encoded) != string(want.Encoded) {
-			t.Errorf("%s: %s: encoded as\n%x, want\n%x", name, got.Name, got.Encoded, want.Encoded)
+			t.Errorf("%s: %s: got encoding\n%x, want\n%x", name, got.Name, got.Encoded, want.Encoded)
 		}
 		all[i] = want.Encoded
 	}
 	return all
 }
 
-// ReadEncodings returns the lines of a golden file that Encodings compares with.
+// ReadEncodings returns the lines of a golden file in the format of Encodings.
 func ReadEncodings(t *testing.T, name string) []Encoding {
 	t.Helper()
 	var all []Encoding
@@ -53,22 +53,22 @@
 		caseName, digits, found := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
 		encoded, err := hex.DecodeString(digits)
 		if !found || err != nil {
-			t.Fatalf("%s: %s: no name and hex: %v", name, caseName, err)
+			t.Fatalf("%s: %s: line is not a name and hex bytes: %v", name, caseName, err)
 		}
 		all = append(all, Encoding{Name: caseName, Encoded: encoded})
 	}
 	return all
 }
 
-// Value is a value, given by a pointer, whose msgpack encoding a golden file pins.
+// Value is a test case of Msgpack.
 type Value struct {
 	Name  string
-	Value any
-	Full  bool // every field has to be set, so that a new field can't be left out of the pin
+	Value any  // pointer to the value to encode
+	Full  bool // whether every field must be set, so that the case has to cover newly added fields
 }
 
-// Msgpack checks that each value is encoded as in the golden file, that the file's bytes decode to the value, and that
-// they still do with a field that this version does not know.
+// Msgpack checks that the msgpack encoding of each value equals the one in the golden file, that the file's bytes decode
+// to the value, and that they still do if a field is added that this version does not define.
 func Msgpack(t *testing.T, name string, values []Value) {
 	t.Helper()
 	encodings := make([]Encoding, len(values))
@@ -99,15 +99,15 @@
 	if err := msgpack.Unmarshal(encoded, decoded); err != nil {
 		t.Errorf("%s: %x: %v", v.Name, encoded, err)
 	} else if !reflect.DeepEqual(decoded, v.Value) {
-		t.Errorf("%s: decoded as\n%+v, want\n%+v", v.Name, decoded, v.Value)
+		t.Errorf("%s: got decoded value\n%+v, want\n%+v", v.Name, decoded, v.Value)
 	}
 }
 
-// requireAllFields fails where a field that is encoded has its zero value, at any depth.
+// requireAllFields fails the test if any encoded field, at any depth, has its zero value.
 func requireAllFields(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
-		t.Errorf("%s: not set", path)
+		t.Errorf("%s: got the zero value, want the field set", path)
 		return
 	}
 	switch v.Kind() {
@@ -128,13 +128,13 @@
 }
 
 const (
-	fixmap          = 0x80 // the first byte of a msgpack map of up to fixmapMaxFields fields, less their number
+	fixmap          = 0x80 // first byte of a msgpack map of up to fixmapMaxFields fields, without the number of fields in its low bits
 	fixmapMaxFields = 15
 )
 
 func isMap(encoded []byte) bool { return encoded[0]&0xf0 == fixmap }
 
-// withUnknownField appends one more field to an encoded map, as a later version may send it.
+// withUnknownField appends a field to an encoded map, as a later version of the program may send.
 func withUnknownField(t *testing.T, encoded []byte) []byte {
 	t.Helper()
 	name, err := msgpack.Marshal("later-version")
@@ -147,7 +147,7 @@
 	}
 	fields := encoded[0]&^fixmap + 1
 	if fields > fixmapMaxFields {
-		t.Fatalf("a map of %d fields", fields)
+		t.Fatalf("got a map of %d fields, too many for a fixmap", fields)
 	}
 	all := append([]byte{fixmap | fields}, encoded[1:]...)
 	return append(append(all, name...), value...)
--- a/internal/goldentest/leaveout.go
+++ b/internal/goldentest/leaveout.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// ChangedLines returns the lines of a text that the base text lacks, indented.
+// ChangedLines returns the lines of text that are not in base, each indented by a tab.
 func ChangedLines(text, base string) string {
 	baseLines := strings.Split(base, "\n")
 	var changed strings.Builder
@@ -18,7 +18,8 @@
 	return changed.String()
 }
 
-// LeaveOutEachLine drops each "key = value" line of a TOML text in turn and reports what that changes in what is read.
+// LeaveOutEachLine removes each "key = value" line of a TOML text in turn, and returns a report of the lines that this
+// changes in the output of read.
 func LeaveOutEachLine(text string, read func(text string) string) string {
 	base := read(text)
 	lines := strings.SplitAfter(text, "\n")
@@ -34,8 +35,8 @@
 	return report.String()
 }
 
-// LeaveOutEachKey takes a JSON text with one key a line, gives each key in turn a name that nothing reads, and reports
-// what that changes in what is read.
+// LeaveOutEachKey takes a JSON text with one key per line. It renames each key in turn to one that is not read, and
+// returns a report of the lines that this changes in the output of read.
 func LeaveOutEachKey(text string, read func(text string) string) string {
 	base := read(text)
 	lines := strings.SplitAfter(text, "\n")
--- a/internal/goldentest/text.go
+++ b/internal/goldentest/text.go
@@ -1,5 +1,5 @@
-// Package goldentest compares what the program writes with golden files in the testdata directory of the package under
-// test. Only `go test PACKAGE -update` writes those files; a missing one fails the test.
+// Package goldentest compares output of the program with golden files in the testdata directory of the package under
+// test. Only `go test PACKAGE -update` writes golden files; a missing golden file fails the test.
 package goldentest
 
 import (
@@ -22,7 +22,7 @@
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(testdata, name))
 	if errors.Is(err, fs.ErrNotExist) {
-		t.Fatalf("%s is missing in testdata; -update writes golden files", name)
+		t.Fatalf("%s does not exist in testdata; run the test with -update to write golden files", name)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 	return string(content)
 }
 
-// Text compares a text with a golden file, line by line.
+// Text compares a text with a golden file, and reports each line that differs.
 func Text(t *testing.T, name, got string) {
 	t.Helper()
 	if *update {
@@ -61,11 +61,12 @@
 	}
 }
 
-// structField is the name of a Go struct field that the TOML library puts into its errors. It is no part of a file's
+// structField matches the name of a Go struct field in errors of the TOML library. The name is not part of a file's
 // format, and changes when the field is renamed.
 var structField = regexp.MustCompile(`struct field \S+ of type`)
 
-// StableError returns an error's text without the directory of the files that it names and without names of Go fields.
+// StableError returns the text of an error without the directory of the files that it names, and with a placeholder
+// for the names of Go struct fields. These parts may change while the error stays the same.
 func StableError(err error, dir string) string {
 	text := strings.ReplaceAll(err.Error(), dir+"/", "")
 	return structField.ReplaceAllString(text, "struct field FIELD of type")
