--- a/cmd/woodproxy/check.go
+++ b/cmd/woodproxy/check.go
@@ -7,11 +7,11 @@
 	"woodproxy/negativecache"
 )
 
-// checkCommand is `woodproxy check`.
+// checkCommand implements the subcommand `woodproxy check`.
 type checkCommand struct{ configOptions }
 
-// Run reads the configuration and every file that it names, tries the addresses that a start would bind beside the
-// clients' one, and prints a line for each file that is good.
+// Run reads the configuration and the files that the flags name, checks that the admin server and gossip could listen on
+// their addresses, and prints a line for each valid file. It does not try the address for clients.
 func (c *checkCommand) Run() error {
 	config, err := c.read()
 	if err != nil {
@@ -35,17 +35,17 @@
 		fmt.Printf("%s: good; cluster %s, %d seeds\n", c.Peers, peers.Cluster, len(peers.Seeds))
 	}
 	if zones := config.ZoneHealth; zones != nil {
-		fmt.Printf("%s: good; this proxy stands in %q, %d regions\n", c.Zones, zones.Zone, len(zones.Regions))
+		fmt.Printf("%s: good; this proxy is in zone %q, %d regions\n", c.Zones, zones.Zone, len(zones.Regions))
 	}
 	if config.StateStore != nil {
-		fmt.Printf("%s: good; what this proxy knows is kept there\n", c.State)
+		fmt.Printf("%s: good; the state of this proxy is stored there\n", c.State)
 	}
 	if missing := config.NegativeCache; missing != nil {
 		seconds := float64(missing.TTL) / float64(negativecache.Second)
-		fmt.Printf("%s: good; room for %d keys, each for %v s\n", c.Missing, missing.Entries, seconds)
+		fmt.Printf("%s: good; capacity %d keys, TTL %v s\n", c.Missing, missing.Entries, seconds)
 	}
 	if moves := config.Rebalance; moves != nil {
-		fmt.Printf("%s: good; slack %v, %d moves at a node, %d in all\n", c.Moves, moves.Slack, moves.MaxMigrationsPerNode, moves.MaxMigrations)
+		fmt.Printf("%s: good; slack %v, at most %d migrations per node, %d in total\n", c.Moves, moves.Slack, moves.MaxMigrationsPerNode, moves.MaxMigrations)
 	}
 	if turns := config.Duties; turns != nil {
 		fmt.Printf("%s: good; %d watchers, %d keepers\n", c.Turns, turns.Watchers, turns.IdleOwners)
@@ -53,13 +53,13 @@
 }
 
 func (c *checkCommand) printConfiguration(config *server.Config) {
-	book := config.Settings
+	settings := config.Settings
 	fmt.Printf("%s: good; %d routes, %d tenants, %d proxies\n",
-		c.Config, len(book.Routes), len(book.Tenants), book.Balancer.Proxies)
+		c.Config, len(settings.Routes), len(settings.Tenants), settings.Balancer.Proxies)
 	if config.NotificationsWithoutGossip {
-		fmt.Println("limits.may-tell: no file of peers is named; nothing is told")
+		fmt.Println("limits.may-tell: no gossip file is named; no notifications are sent")
 	}
 	if config.ShadowSettings != nil {
-		fmt.Println("other settings are watched")
+		fmt.Println("shadow settings are evaluated")
 	}
 }
--- a/cmd/woodproxy/counters.go
+++ b/cmd/woodproxy/counters.go
@@ -10,23 +10,23 @@
 	"woodproxy/internal/wire"
 )
 
-// countersTimeout bounds connecting to the proxy, and then the whole call.
+// countersTimeout is the maximum time to connect to the proxy, and then that of the complete exchange.
 const countersTimeout = time.Second
 
-// countersCommand is `woodproxy counters`.
+// countersCommand implements the subcommand `woodproxy counters`.
 type countersCommand struct {
-	Address string `arg:"" help:"Where the proxy listens."`
+	Address string `arg:"" help:"Address at which the proxy serves clients."`
 }
 
-// Run asks the proxy for INFO at its clients' address, and prints the answer.
+// Run sends the command INFO to the proxy's address for clients and prints the response.
 func (c *countersCommand) Run() error {
 	conn, err := net.DialTimeout("tcp", c.Address, countersTimeout)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // all that is wanted has been read by then
+	defer func() { _ = conn.Close() }() // the response has been read
 	if err := conn.SetDeadline(time.Now().Add(countersTimeout)); err != nil {
-		return fmt.Errorf("set the call's deadline: %w", err)
+		return fmt.Errorf("set the deadline of the call: %w", err)
 	}
 	if _, err := conn.Write(wire.AppendPlainCommand(nil, "INFO")); err != nil {
 		return err
--- a/cmd/woodproxy/main.go
+++ b/cmd/woodproxy/main.go
@@ -10,12 +10,12 @@
 
 func main() {
 	var commands struct {
-		Serve    serveCommand    `cmd:"" help:"Serve clients until told to stop."`
-		Check    checkCommand    `cmd:"" help:"Say whether a configuration is good."`
-		Counters countersCommand `cmd:"" help:"Print what a running proxy has counted since its start."`
-		Peers    peersCommand    `cmd:"" help:"Print how a running proxy stands with its peers."`
-		Zones    zonesCommand    `cmd:"" help:"Print how zones stand with a running proxy and its peers, or order one in, out or held."`
-		Trace    traceCommand    `cmd:"" help:"Print what the logs of proxies say of one request."`
+		Serve    serveCommand    `cmd:"" help:"Serve clients until a signal stops the process."`
+		Check    checkCommand    `cmd:"" help:"Check a configuration and the files that it names."`
+		Counters countersCommand `cmd:"" help:"Print the counters of a running proxy since its start."`
+		Peers    peersCommand    `cmd:"" help:"Print a running proxy's view of its peers."`
+		Zones    zonesCommand    `cmd:"" help:"Print a running proxy's view of the zones, or set an override for a zone or region."`
+		Trace    traceCommand    `cmd:"" help:"Print the lines about one request in the logs of proxies."`
 		Version  versionCommand  `cmd:"" help:"Print the version."`
 	}
 	parsed := kong.Parse(&commands, kong.Name("woodproxy"), kong.Description("A router for fleets of cache servers."))
--- a/cmd/woodproxy/operators.go
+++ b/cmd/woodproxy/operators.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	adminCallTimeout  = 2 * time.Second
-	maxAdminAnswer    = 4 << 20 // bytes of an answer that are read
-	anyZoneOrderEpoch = -1      // the order replaces whichever stands
+	adminCallTimeout = 2 * time.Second
+	maxAdminResponse = 4 << 20 // maximum number of bytes read of a response
+	anyOverrideEpoch = -1      // the new override replaces the current one, whatever its number
 )
 
-// peersCommand is `woodproxy peers`.
+// peersCommand implements the subcommand `woodproxy peers`.
 type peersCommand struct {
-	Address string `arg:"" help:"The proxy's management address."`
+	Address string `arg:"" help:"Address of the proxy's admin server."`
 }
 
 // Run prints the proxy's view of its peers.
@@ -28,16 +28,16 @@
 	return callAdmin(http.MethodGet, c.Address, "/control/peers")
 }
 
-// zonesCommand is `woodproxy zones`.
+// zonesCommand implements the subcommand `woodproxy zones`.
 type zonesCommand struct {
-	Address string `arg:"" help:"The proxy's management address."`
-	Zone    string `arg:"" optional:"" help:"A zone or region to order something of; without it all are shown."`
-	Want    string `arg:"" optional:"" enum:"in,out,hold,auto," default:"" help:"in, out, hold as it is, or auto: what the evidence says."`
-	Epoch   int64  `default:"-1" help:"The number of the order that this one is to replace, 0: there is none; nothing changes if another stands."`
-	Force   string `help:"\"leave no zone\": also if no zone would be left in."`
+	Address string `arg:"" help:"Address of the proxy's admin server."`
+	Zone    string `arg:"" optional:"" help:"Zone or region to override; without it, all zones are printed."`
+	Want    string `arg:"" optional:"" enum:"in,out,hold,auto," default:"" help:"The override: in, out, hold (keep the current state) or auto (decide by votes)."`
+	Epoch   int64  `default:"-1" help:"Number of the override to replace, 0 for none; nothing changes if another one is in effect. -1 replaces any."`
+	Force   string `help:"Set to \"leave no zone\" to override a zone even if no other zone would serve keys."`
 }
 
-// Run prints how the zones stand, or where a zone is named orders something of it.
+// Run prints the state of all zones, or sets an override if a zone or region is given.
 func (c *zonesCommand) Run() error {
 	if c.Zone == "" {
 		return callAdmin(http.MethodGet, c.Address, "/control/zones")
@@ -46,7 +46,7 @@
 		return errors.New("zones: in, out, hold or auto: missing")
 	}
 	query := url.Values{}
-	if c.Epoch > anyZoneOrderEpoch {
+	if c.Epoch > anyOverrideEpoch {
 		query.Set("epoch", strconv.FormatInt(c.Epoch, 10))
 	}
 	if c.Force != "" {
@@ -55,8 +55,8 @@
 	return callAdmin(http.MethodPost, c.Address, "/control/zones/"+url.PathEscape(c.Zone)+"/"+c.Want+"?"+query.Encode())
 }
 
-// callAdmin makes an operators' call at a management address and prints the answer. An answer other than 200 is an error
-// with the answer's text.
+// callAdmin sends a request to an admin server and prints the response body. If the status is not 200, it returns an
+// error with the text of the body.
 func callAdmin(method, address, path string) error {
 	request, err := http.NewRequest(method, "http://"+address+path, http.NoBody)
 	if err != nil {
@@ -67,10 +67,10 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // all that is wanted has been read by then
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAdminAnswer))
+	defer func() { _ = response.Body.Close() }() // the body has been read
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAdminResponse))
 	if err != nil {
-		return fmt.Errorf("read the answer: %w", err)
+		return fmt.Errorf("read the response: %w", err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return errors.New(strings.TrimSpace(string(text)))
--- a/cmd/woodproxy/serve.go
+++ b/cmd/woodproxy/serve.go
@@ -11,20 +11,20 @@
 	"go.uber.org/zap"
 )
 
-// serveCommand is `woodproxy serve`.
+// serveCommand implements the subcommand `woodproxy serve`.
 type serveCommand struct {
 	configOptions
-	LogLevel string `env:"GW_LOG_LEVEL" default:"info" enum:"debug,info,warn,error" help:"debug: with what became of every request."`
+	LogLevel string `env:"GW_LOG_LEVEL" default:"info" enum:"debug,info,warn,error" help:"Log level; debug logs the trace of every request."`
 }
 
-// newLogger returns the logger of JSON lines on standard error, from a level on.
+// newLogger returns a logger that writes JSON lines of the given level and above to standard error.
 func newLogger(level string) (*zap.Logger, error) {
 	config := zap.NewProductionConfig()
 	if err := config.Level.UnmarshalText([]byte(level)); err != nil {
 		return nil, fmt.Errorf("create the logger: %w", err)
 	}
 	if level == "debug" {
-		config.Sampling = nil // which would drop lines of the same text
+		config.Sampling = nil // sampling would drop repeated lines with the same text, such as request traces
 	}
 	logger, err := config.Build()
 	if err != nil {
@@ -44,15 +44,16 @@
 		return err
 	}
 	return server.Serve(config, c.reread, logger, server.Signals{
-		Stop:        notified(syscall.SIGTERM, syscall.SIGINT),
-		Reload:      notified(syscall.SIGHUP),
-		LogCounters: notified(syscall.SIGUSR1),
+		Stop:        signalChannel(syscall.SIGTERM, syscall.SIGINT),
+		Reload:      signalChannel(syscall.SIGHUP),
+		LogCounters: signalChannel(syscall.SIGUSR1),
 	})
 }
 
-// notified returns a channel on which the process is told of signals. One that waits there stands for all that come
-// meanwhile, and none takes the place of another kind.
-func notified(kinds ...os.Signal) <-chan os.Signal {
+// signalChannel returns a channel that receives the given signals. The channel holds one signal: signals that arrive
+// while another one is pending in it are merged with that one. Signals of different purposes need separate channels, so
+// that none of them is lost to another.
+func signalChannel(kinds ...os.Signal) <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, kinds...)
 	return signals
--- a/cmd/woodproxy/trace.go
+++ b/cmd/woodproxy/trace.go
@@ -10,23 +10,23 @@
 	"slices"
 )
 
-// traceCommand is `woodproxy trace`.
+// traceCommand implements the subcommand `woodproxy trace`.
 type traceCommand struct {
-	ID   string   `arg:"" help:"The request's id, as the client gave it."`
-	Logs []string `arg:"" help:"Logs of the proxies that may have had it, as they wrote them." type:"existingfile"`
+	ID   string   `arg:"" help:"ID of the request, as sent by the client."`
+	Logs []string `arg:"" help:"Log files of the proxies that may have received the request, as written by them." type:"existingfile"`
 }
 
-// maxLogLine bounds a line of a log, in bytes; longer ones end the reading of that file.
+// maxLogLine is the maximum length of a log line, in bytes. A longer line is an error.
 const maxLogLine = 1 << 20
 
-// tracedLine is a line of a log that concerns the request.
+// tracedLine is a log line about the request.
 type tracedLine struct {
 	at   float64 // Unix seconds
 	file string
 	text string
 }
 
-// Run prints the lines of all logs that concern the request, by time.
+// Run prints the lines about the request in all logs, in order of time.
 func (c *traceCommand) Run() error {
 	var lines []tracedLine
 	for _, file := range c.Logs {
@@ -41,18 +41,18 @@
 		fmt.Printf("%s: %s\n", line.file, line.text)
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line concerns %q; at info level, lines are written of requests that ended badly", c.ID)
+		return fmt.Errorf("no log line about request %q; at level info, only abnormal requests are logged", c.ID)
 	}
 	return nil
 }
 
-// search returns the lines of a file that concern the request. Lines that are no JSON objects are skipped.
+// search returns the lines about the request in a file. It skips lines that are not JSON objects.
 func (c *traceCommand) search(name string) ([]tracedLine, error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // errors of closing don't matter for a file that is only read
 	return c.filter(name, file)
 }
 
--- a/cmd/woodproxy/version.go
+++ b/cmd/woodproxy/version.go
@@ -5,10 +5,10 @@
 	"runtime/debug"
 )
 
-// versionCommand is `woodproxy version`.
+// versionCommand implements the subcommand `woodproxy version`.
 type versionCommand struct{}
 
-// Run prints the module's version and the Go release that the program was built with.
+// Run prints the version of the module and the Go version that the program was built with.
 func (*versionCommand) Run() error {
 	text := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
