--- a/cmd/woodproxy/bounds_test.go
+++ b/cmd/woodproxy/bounds_test.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// publishWhole sends the whole list to all watches.
+// publishWhole sends the complete endpoint list to all watches.
 func (d *listStandIn) publishWhole() {
 	d.change(func() { d.sent = append(d.sent, d.object(true, d.list())) })
 }
 
-// resetWatches ends all watches.
+// resetWatches resets the connections of all watches.
 func (d *listStandIn) resetWatches() { d.change(func() { d.resets++ }) }
 
-// setSilent begins or ends a time in which watches are sent nothing.
+// setSilent sets whether watches receive nothing, not even heartbeats.
 func (d *listStandIn) setSilent(silent bool) { d.change(func() { d.silent = silent }) }
 
-// waysOfBeingTold are the ways in which a proxy learns of its servers, beside the list in its configuration.
+// waysOfBeingTold are sequences of events that change the proxy's endpoint list or its connection to discovery.
 var waysOfBeingTold = map[string]func(t *testing.T, p *fleetProxy){
-	"one line at a time": publishChanges,
-	"whole lists": func(_ *testing.T, p *fleetProxy) {
+	"one change at a time": publishChanges,
+	"complete lists": func(_ *testing.T, p *fleetProxy) {
 		for number := range 3 {
 			p.discovery.publish(fleetRow(number, "leaving"))
 			p.discovery.publishWhole()
@@ -46,7 +46,7 @@
 			time.Sleep(700 * time.Millisecond)
 		}
 	},
-	"discovery away": func(t *testing.T, p *fleetProxy) {
+	"discovery silent": func(t *testing.T, p *fleetProxy) {
 		t.Helper()
 		p.discovery.setSilent(true)
 		time.Sleep(4 * time.Second)
@@ -56,12 +56,13 @@
 	},
 }
 
-// At sixteen times the servers a proxy needed several times the memory, and thirty times the processor time, that the
-// operators' page allows.
+// TestNeedsFollowServersWithinThePagesBounds checks that memory and CPU time at many servers stay within the bounds of
+// the operators' page. With 16 times as many servers, a proxy once used several times the allowed memory and 30 times the
+// allowed CPU time.
 func TestNeedsFollowServersWithinThePagesBounds(t *testing.T) {
 	program := filepath.Join(buildPrograms(t), "woodproxy")
 	for name, tell := range waysOfBeingTold {
 		t.Run(name, func(t *testing.T) { checkGrowth(t, program, false, tell) })
 	}
-	t.Run("indented, in pieces", func(t *testing.T) { checkGrowth(t, program, true, publishChanges) })
+	t.Run("indented, in small writes", func(t *testing.T) { checkGrowth(t, program, true, publishChanges) })
 }
--- a/cmd/woodproxy/cli_golden_test.go
+++ b/cmd/woodproxy/cli_golden_test.go
@@ -14,7 +14,7 @@
 	"woodproxy/internal/goldentest"
 )
 
-// buildPrograms builds all programs of the module into a directory of the test's own.
+// buildPrograms builds all programs of the module into a temporary directory and returns its path.
 func buildPrograms(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -26,16 +26,16 @@
 	return dir
 }
 
-// command is one run of a program.
+// command is a program to run with its arguments.
 type command struct {
 	program     string
 	args        []string
-	environment []string // the whole of it
+	environment []string // the complete environment
 	input       string
 	dir         string
 }
 
-// output runs the command to its end and returns its exit code and what it wrote, as it stands in the golden files.
+// output runs the command and returns its command line, exit code and output in the format of the golden files.
 func (c *command) output(t *testing.T, programs string) string {
 	t.Helper()
 	process := exec.Command(filepath.Join(programs, c.program), c.args...)
@@ -62,7 +62,7 @@
 	return text.String() + "\n"
 }
 
-// outputs runs all in one directory, one after the other.
+// outputs runs commands one after the other in the same directory and returns their outputs.
 func outputs(t *testing.T, programs, dir string, all []command) string {
 	t.Helper()
 	var text strings.Builder
@@ -87,10 +87,10 @@
 "routes":[{"name":"read","latency-objective":600,"overall-timeout":1200,"value":5,"effect":"pure"},
 {"name":"put","latency-objective":600,"overall-timeout":1200,"value":5,"effect":"token","group":"all","dedup-window":6000}]}`
 
-// A proxy of this configuration is started by none of the command line's cases; only checks read it.
+// cliConfig is the configuration of the command line tests. They only check it, and start no proxy with it.
 const cliConfig = `{"name":"alpha","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f","settings":` + cliSettings + `}`
 
-// partFiles are the files that the flags name, by flag. ADDRESS stands for a free one.
+// partFiles contains the files of optional features by the flag that names them. ADDRESS is replaced by a free address.
 var partFiles = map[string]string{
 	"peers":   "cluster = \"c\"\nlisten = \"ADDRESS\"\nseeds = [\"127.10.8.2:27946\"]\n",
 	"zones":   "[[region]]\nname = \"east\"\nzones = [\"b\", \"c\"]\n",
@@ -99,7 +99,7 @@
 	"moves":   "slack = 0.1\n",
 }
 
-// partFlags writes the files, makes the directory of stored state, and names all of them.
+// partFlags writes the files of all optional features, creates the state directory and returns the flags that name them.
 func partFlags(t *testing.T, dir string) []string {
 	t.Helper()
 	if err := os.Mkdir(filepath.Join(dir, "state"), 0o700); err != nil {
@@ -139,13 +139,13 @@
 	goldentest.Text(t, "woodproxy_help.golden", outputs(t, programs, t.TempDir(), proxyHelp))
 }
 
-// testProxyCommands pins exit codes, error lines and what check prints.
+// testProxyCommands checks exit codes, error lines and the output of the check subcommand.
 func testProxyCommands(t *testing.T, programs string) {
 	dir := t.TempDir()
 	parts := partFlags(t, dir)
 	writeFile(t, dir, "good.json", cliConfig)
 	writeFile(t, dir, "watched.json", strings.Replace(cliConfig, `"seed"`, `"watch":{"tick":6},"seed"`, 1))
-	writeFile(t, dir, "told.json", strings.Replace(cliConfig, `"may-cancel"`, `"may-tell":true,"may-cancel"`, 1)) // of whom, is lacking
+	writeFile(t, dir, "told.json", strings.Replace(cliConfig, `"may-cancel"`, `"may-tell":true,"may-cancel"`, 1)) // lacks the key "me"
 	writeFile(t, dir, "nameless.json", strings.Replace(cliConfig, `"name":"alpha",`, "", 1))
 	writeFile(t, dir, "garbled.json", cliConfig[:len(cliConfig)/2])
 	writeFile(t, dir, "bad.toml", "unknown_key = 1\n")
@@ -185,7 +185,7 @@
 	}
 	for _, part := range []string{"peers", "zones", "turns", "missing", "moves"} {
 		args := []string{"check", "--config=good.json"}
-		if part == "turns" { // which need peers before their own file is read
+		if part == "turns" { // this flag requires --peers before its own file is read
 			args = append(args, "--peers=peers.toml")
 		}
 		all = append(all, proxy(append(args[:len(args):len(args)], "--"+part+"=bad.toml")...), proxy(append(args[:len(args):len(args)], "--"+part+"=none.toml")...))
@@ -207,7 +207,7 @@
 func testProxyVersion(t *testing.T, programs string) {
 	text, err := exec.Command(filepath.Join(programs, "woodproxy"), "version").Output()
 	if err != nil || !versionLine.Match(text) {
-		t.Errorf("%q (%v)", text, err)
+		t.Errorf("got version %q (%v)", text, err)
 	}
 }
 
@@ -245,7 +245,8 @@
 	goldentest.Text(t, "emulator.golden", outputs(t, programs, dir, labCommands))
 }
 
-// testSimulatorHost pins the exit code and the one line that names line, message and field of malformed input.
+// testSimulatorHost checks the exit code of simhost, and the error line for malformed input, which names the input line,
+// the message and the field.
 func testSimulatorHost(t *testing.T, programs string) {
 	host := func(input string) command { return command{program: "simhost", input: input} }
 	all := []command{
--- a/cmd/woodproxy/liststandin_test.go
+++ b/cmd/woodproxy/liststandin_test.go
@@ -14,22 +14,23 @@
 	"woodproxy/internal/emulator"
 )
 
-// heartbeatInterval is how often an open watch is sent an empty line.
+// heartbeatInterval is the interval at which an open watch receives an empty line.
 const heartbeatInterval = 500 * time.Millisecond
 
-// listStandIn is a discovery that answers each watch with a whole list, and then sends what it is told to.
+// listStandIn is a fake discovery server. It sends the complete endpoint list to each new watch, and then the changes
+// that the test publishes.
 type listStandIn struct {
-	indented bool // objects stand over many lines, and come in pieces
+	indented bool // whether objects are indented over many lines and sent in small writes
 	addr     [2]string
 
 	mu      sync.Mutex
 	version int
 	rows    map[string]emulator.Endpoint
-	order   []string // names, in the order in which they were listed first
-	silent  bool     // watches are sent nothing
-	changed chan struct{}
-	sent    []string // changes, as lines
-	resets  int      // how often all watches were ended
+	order   []string      // names, in the order in which they were first listed
+	silent  bool          // whether watches receive nothing
+	changed chan struct{} // closed at the next change
+	sent    []string      // published changes, one line each unless indented
+	resets  int           // number of times that all watches were reset
 }
 
 func startListStandIn(t *testing.T, servers int) *listStandIn {
@@ -42,14 +43,14 @@
 			t.Fatal(err)
 		}
 		server := &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: time.Second}
-		go func() { _ = server.Serve(listener) }() // it returns as the server is closed
-		t.Cleanup(func() { _ = server.Close() })   // the test has passed or failed by then
+		go func() { _ = server.Serve(listener) }() // returns when the server is closed
+		t.Cleanup(func() { _ = server.Close() })   // the test has finished, so that the error doesn't matter
 		d.addr[i] = listener.Addr().String()
 	}
 	return d
 }
 
-// publish changes lines of the list, and sends them to all watches as one change.
+// publish updates entries of the endpoint list and sends them to all watches as one change.
 func (d *listStandIn) publish(rows ...emulator.Endpoint) {
 	d.change(func() {
 		for _, row := range rows {
@@ -62,6 +63,7 @@
 	})
 }
 
+// change calls the function with the lock held, and wakes all watches.
 func (d *listStandIn) change(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,6 +82,7 @@
 	return rows
 }
 
+// object encodes entries as a JSON object of the discovery protocol.
 func (d *listStandIn) object(whole bool, rows []emulator.Endpoint) string {
 	lines := make([]string, len(rows))
 	for i, row := range rows {
@@ -92,14 +95,14 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`+"\n", d.version, whole, strings.Join(lines, ","))
 }
 
-// known returns the whole list as it stands in a configuration.
+// known returns the complete list in the form that a configuration contains.
 func (d *listStandIn) known() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return strings.TrimSpace(d.object(true, d.list()))
 }
 
-// serve answers one watch.
+// serve handles one watch.
 func (d *listStandIn) serve(w http.ResponseWriter, request *http.Request) {
 	d.mu.Lock()
 	next, resets, first := len(d.sent), d.resets, d.object(true, d.list())
@@ -128,7 +131,7 @@
 	}
 }
 
-// write sends a text, in pieces where objects are indented.
+// write sends a text, in small writes if objects are indented.
 func (d *listStandIn) write(w http.ResponseWriter, text string) {
 	piece := len(text)
 	if d.indented {
--- a/cmd/woodproxy/managementaddress_test.go
+++ b/cmd/woodproxy/managementaddress_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// A process that was to replace another with the same management address took the listener over, and ended then.
+// A process that is started as the successor of another with the same management address must fail before it takes over
+// the listener. It once took over the listener and then exited.
 func TestReplacementWithSameManagementAddressTakesNothingOver(t *testing.T) {
 	program := filepath.Join(buildPrograms(t), "woodproxy")
 	first := startFleetProxy(t, program, startListStandIn(t, 1))
@@ -19,13 +20,13 @@
 		second.Stderr = &log
 		err := second.Run()
 		if err == nil || second.ProcessState.ExitCode() != 1 {
-			t.Errorf("%s: %v, not exit code 1", verb, err)
+			t.Errorf("%s: got %v, want exit code 1", verb, err)
 		}
 		if !strings.Contains(log.String(), "a process that replaces another needs an address of its own") || strings.Contains(log.String(), "inherited") {
-			t.Errorf("%s: %s", verb, log.String())
+			t.Errorf("%s: got log %s, want the address error and no inherited listener", verb, log.String())
 		}
 	}
 	if !pong(first.clients) {
-		t.Error("the first process does not answer any more")
+		t.Error("the first process no longer responds")
 	}
 }
--- a/cmd/woodproxy/manyservers_test.go
+++ b/cmd/woodproxy/manyservers_test.go
@@ -18,13 +18,13 @@
 	manyServers    = 3200
 	listChanges    = 100
 	changeInterval = 20 * time.Millisecond
-	// readyWithin is how long a proxy may take from its start until it answers clients.
+	// readyWithin is the maximum time from the start of a proxy until it responds to clients.
 	readyWithin = 10 * time.Second
-	// memoryLimitMB is what the operators gave to each proxy of the run that broke.
+	// memoryLimitMB is the memory limit of each proxy in the deployment where proxies were killed for their memory.
 	memoryLimitMB = 64
 )
 
-// fleetRow returns the line of the endpoint list of a server by its number. Nobody listens at its address.
+// fleetRow returns the endpoint list entry of the server with the given number. Nothing listens at its address.
 func fleetRow(number int, status string) emulator.Endpoint {
 	return emulator.Endpoint{
 		Name: fmt.Sprintf("s-%08x", number*2654435761), Address: fmt.Sprintf("127.11.%d.%d:6379", number/250, number%250+1),
@@ -32,7 +32,7 @@
 	}
 }
 
-// fleetRows returns the whole list of a fleet: its servers and the origin.
+// fleetRows returns the complete endpoint list of a fleet: its servers and the origin.
 func fleetRows(servers int) []emulator.Endpoint {
 	rows := []emulator.Endpoint{{Name: "origin", Address: unreachable, Kind: "origin", Status: "active"}}
 	for number := range servers {
@@ -41,7 +41,7 @@
 	return rows
 }
 
-// fleetProxy is a proxy process that is told of a fleet.
+// fleetProxy is a proxy process whose endpoint list contains a fleet of servers.
 type fleetProxy struct {
 	command    *exec.Cmd
 	discovery  *listStandIn
@@ -51,7 +51,7 @@
 	management string // address
 }
 
-// startFleetProxy starts a proxy whose configuration knows a fleet of servers and whose discovery tells of the same.
+// startFleetProxy starts a proxy whose configuration contains the same fleet of servers as its discovery.
 func startFleetProxy(t *testing.T, program string, discovery *listStandIn) *fleetProxy {
 	t.Helper()
 	p := &fleetProxy{discovery: discovery, dir: t.TempDir(), clients: freeAddress(t), management: freeAddress(t)}
@@ -61,7 +61,7 @@
 	return p
 }
 
-// configure writes the configuration, with one of the stand-in's addresses.
+// configure writes the configuration, with the given one of the fake discovery's two addresses.
 func (p *fleetProxy) configure(t *testing.T, address int) {
 	t.Helper()
 	text := strings.Replace(cliConfig, `"seed"`, fmt.Sprintf(
@@ -70,7 +70,7 @@
 	writeFile(t, p.dir, "config.json", text)
 }
 
-// start starts the process.
+// start starts the process and waits until it responds to clients.
 func (p *fleetProxy) start(t *testing.T, program string) {
 	t.Helper()
 	p.command = exec.Command(program, "serve", "--config=config.json", "--listen="+p.clients, "--management="+p.management, "--zones=zones.toml")
@@ -80,13 +80,13 @@
 	}
 	command := p.command
 	t.Cleanup(func() {
-		_ = command.Process.Kill() // it may have ended by itself
-		_ = command.Wait()         // killed, it always ends with an error
+		_ = command.Process.Kill() // the process may have exited already
+		_ = command.Wait()         // a killed process always returns an error
 	})
 	p.awaitReady(t)
 }
 
-// awaitReady waits until the proxy answers clients.
+// awaitReady waits until the proxy responds to clients.
 func (p *fleetProxy) awaitReady(t *testing.T) {
 	t.Helper()
 	for time.Since(p.startedAt) < readyWithin {
@@ -98,23 +98,23 @@
 	t.Fatalf("not ready %v after the start", readyWithin)
 }
 
-// pong reports whether a proxy answers a ping.
+// pong reports whether a proxy responds to a PING command.
 func pong(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // the answer has been read
+	defer func() { _ = conn.Close() }() // the response has been read
 	_ = conn.SetDeadline(time.Now().Add(time.Second))
-	answer := make([]byte, len("+PONG"))
+	response := make([]byte, len("+PONG"))
 	if _, err := conn.Write([]byte("*1\r\n$4\r\nPING\r\n")); err != nil {
 		return false
 	}
-	n, _ := conn.Read(answer)
-	return string(answer[:n]) == "+PONG"
+	n, _ := conn.Read(response)
+	return string(response[:n]) == "+PONG"
 }
 
-// peakMemoryMB returns the most memory that the process has had resident, in MiB.
+// peakMemoryMB returns the peak resident memory of the process, in MiB.
 func (p *fleetProxy) peakMemoryMB(t *testing.T) float64 {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
@@ -130,21 +130,22 @@
 			return float64(kilobytes) / 1024
 		}
 	}
-	t.Fatal("the process has no VmHWM: it has ended")
+	t.Fatal("no VmHWM in the status of the process: it has exited")
 	return 0
 }
 
-// A proxy that is told of thousands of servers was killed for its memory before it served anybody.
+// A proxy with thousands of servers in its endpoint list was killed for its memory before it served clients. Its peak
+// memory must stay within the limit.
 func TestStartWithThousandsOfServersStaysWithinMemoryLimit(t *testing.T) {
 	program := filepath.Join(buildPrograms(t), "woodproxy")
 	p := startFleetProxy(t, program, startListStandIn(t, manyServers))
 	publishChanges(t, p)
 	if peak := p.peakMemoryMB(t); peak > memoryLimitMB {
-		t.Errorf("%d servers: %.1f MB resident at the most, over the limit of %d MB", manyServers, peak, memoryLimitMB)
+		t.Errorf("%d servers: got a peak of %.1f MB resident, want at most %d MB", manyServers, peak, memoryLimitMB)
 	}
 }
 
-// publishChanges has the proxy told of servers that drain, one by one.
+// publishChanges publishes changes of single servers to draining, one after the other.
 func publishChanges(_ *testing.T, p *fleetProxy) {
 	for number := range listChanges {
 		p.discovery.publish(fleetRow(number, "leaving"))
--- a/cmd/woodproxy/signals_test.go
+++ b/cmd/woodproxy/signals_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// ends reports whether the process ends by itself in time.
+// ends reports whether the process exits by itself within the given time. Otherwise it kills the process.
 func (p *proxyProcess) ends(within time.Duration) bool {
 	ended := make(chan struct{})
 	go func() {
-		_ = p.command.Wait() // how it ends does not matter here
+		_ = p.command.Wait() // the exit status doesn't matter here
 		close(ended)
 	}()
 	select {
 	case <-ended:
 		return true
 	case <-time.After(within):
-		_ = p.command.Process.Kill() // it has not ended
+		_ = p.command.Process.Kill() // the process has not exited
 		<-ended
 		return false
 	}
 }
 
-// signal sends a signal a number of times, with room between them so that the system joins none.
+// signal sends a signal a number of times, with pauses, so that the kernel does not merge pending signals.
 func (p *proxyProcess) signal(t *testing.T, signal os.Signal, times int) {
 	t.Helper()
 	for range times {
@@ -36,15 +36,15 @@
 	}
 }
 
-// A process is told to stop among other signals, while it reads its file from a disk that hangs, or before it serves
-// clients: it stops all the same.
+// A process stops on SIGTERM even if other signals arrive just before it, both while a reload hangs on reading the
+// configuration file and before the process serves clients.
 func TestStopIsNotLostAmongSignals(t *testing.T) {
 	const within = 5 * time.Second
 	program := filepath.Join(buildPrograms(t), "woodproxy")
 	t.Run("reload hangs", func(t *testing.T) {
 		p := startProxy(t, program, knownList(fleetNodes()), noParts)
 		p.ready(t)
-		pipe := filepath.Join(p.command.Dir, "pipe") // to open it waits for who writes
+		pipe := filepath.Join(p.command.Dir, "pipe") // opening the pipe blocks until it is opened for writing
 		if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -54,12 +54,12 @@
 		p.signal(t, syscall.SIGHUP, 8)
 		p.signal(t, syscall.SIGTERM, 1)
 		if !p.ends(within) {
-			t.Error("it goes on")
+			t.Error("process still runs after SIGTERM")
 		}
 	})
 	t.Run("before it serves", func(t *testing.T) {
 		p := startProxy(t, program, knownList(fleetNodes()), noParts)
-		for range 200 { // until signals are handled: the management address is served then
+		for range 200 { // signals are handled once the admin server responds
 			if _, err := p.try("GET", "/control/ready", ""); err == nil {
 				break
 			}
@@ -68,7 +68,7 @@
 		p.signal(t, syscall.SIGUSR1, 8)
 		p.signal(t, syscall.SIGTERM, 1)
 		if !p.ends(within) {
-			t.Error("it goes on")
+			t.Error("process still runs after SIGTERM")
 		}
 	})
 }
--- a/cmd/woodproxy/trace_test.go
+++ b/cmd/woodproxy/trace_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The lines of one request are found in the logs of all proxies, by time; other lines, and what is no JSON, are not.
+// The trace subcommand prints the lines about one request from all logs in order of time. It skips other lines and lines
+// that are not JSON.
 func TestTraceFollowsRequestThroughLogs(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, dir, "a.log", `{"ts":3.0,"msg":"request trace","id":"wanted","events":["0.0 received"]}
@@ -27,9 +28,9 @@
 	output, err := run("wanted")
 	lines := strings.Split(strings.TrimSpace(output), "\n")
 	if err != nil || len(lines) != 2 || !strings.Contains(lines[0], "b.log: ") || !strings.Contains(lines[1], "a.log: ") {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("got error %v and output %q, want a line of b.log and then one of a.log", err, output)
 	}
 	if output, err := run("unknown"); err == nil || strings.Count(output, "\n") != 1 {
-		t.Errorf("%v: %s", err, output)
+		t.Errorf("unknown request: got error %v and output %q, want an error of one line", err, output)
 	}
 }
