--- a/cmd/woodproxy/process_golden_test.go
+++ b/cmd/woodproxy/process_golden_test.go
@@ -29,25 +29,27 @@
 	"go.uber.org/zap"
 )
 
-const patience = 15 * time.Second // until what is waited for has to have come
+// patience is the maximum time to wait for a condition.
+const patience = 15 * time.Second
 
 // proxyProcess is a running proxy.
 type proxyProcess struct {
 	program    string
 	command    *exec.Cmd
-	log        *bytes.Buffer // read only once the process has ended
-	clients    string        // addresses
-	management string
-	peers      string
+	log        *bytes.Buffer // read only after the process has exited
+	clients    string        // address for clients
+	management string        // address of the admin server
+	peers      string        // address for gossip
 }
 
-// unreachable is where nobody listens.
+// unreachable is an address at which nothing listens.
 const unreachable = "127.0.0.1:1"
 
-// listedNode is a node as the list has it.
+// listedNode is an entry of the endpoint list.
 type listedNode struct{ name, zone, kind, addr string }
 
-// fleetNodes is a cache and the origin in zone a, and three caches in each of the zones b and c, where nobody listens.
+// fleetNodes returns a fleet of a cache and the origin in zone a, and three caches in each of zones b and c. Nothing
+// listens at their addresses.
 func fleetNodes() []listedNode {
 	nodes := []listedNode{{"cache-a", "a", "std", unreachable}, {"origin", "a", "origin", unreachable}}
 	for _, zone := range []string{"b", "c"} {
@@ -58,7 +60,7 @@
 	return nodes
 }
 
-// knownList is the list from which a proxy serves while discovery is silent.
+// knownList returns the configuration's endpoint list, from which a proxy serves while discovery does not respond.
 func knownList(nodes []listedNode) string {
 	var rows []string
 	for _, n := range nodes {
@@ -68,7 +70,7 @@
 	return `{"index":41,"snapshot":true,"endpoints":[` + strings.Join(rows, ",") + `]}`
 }
 
-// allParts has all parts on, onlyZones one of them, noParts none.
+// allParts returns a function that writes the files of all optional features and returns their flags.
 func allParts(t *testing.T) func(dir string) []string {
 	return func(dir string) []string {
 		t.Helper()
@@ -76,6 +78,7 @@
 	}
 }
 
+// onlyZones is like allParts, but returns only the flag of the zone health file.
 func onlyZones(t *testing.T) func(dir string) []string {
 	return func(dir string) []string {
 		t.Helper()
@@ -84,10 +87,11 @@
 	}
 }
 
+// noParts returns no flags of optional features.
 func noParts(string) []string { return nil }
 
-// startProxy starts the proxy alpha with the flags of its parts, in which PEERS stands for where it talks. Discovery is an address
-// where nobody listens.
+// startProxy starts the proxy alpha with the flags that parts returns, in which PEERS is replaced by the proxy's address
+// for gossip. Nothing listens at the address of discovery.
 func startProxy(t *testing.T, program, known string, parts func(dir string) []string) *proxyProcess {
 	t.Helper()
 	dir := t.TempDir()
@@ -103,8 +107,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = p.command.Process.Kill() // it may have ended by itself
-		_ = p.command.Wait()         // killed, it always ends with an error
+		_ = p.command.Process.Kill() // the process may have exited already
+		_ = p.command.Wait()         // a killed process always returns an error
 		if t.Failed() {
 			t.Logf("the proxy's log:\n%s", p.log)
 		}
@@ -122,7 +126,7 @@
 	return listener.Addr().String()
 }
 
-// response is what an operators' call got.
+// response is a response of the admin server.
 type response struct {
 	status      int
 	contentType string
@@ -133,27 +137,28 @@
 	return fmt.Sprintf("%d %s\n%s", r.status, r.contentType, r.body)
 }
 
-// masked shows a response with its body masked.
+// masked returns the text of a response with its body masked.
 func (r response) masked(mask func(string) string) string {
 	return response{r.status, r.contentType, mask(r.body)}.String()
 }
 
-// try makes an operators' call.
+// try sends a request to the admin server.
 func (p *proxyProcess) try(method, target, body string) (response, error) {
 	request, err := http.NewRequest(method, "http://"+p.management+target, strings.NewReader(body))
 	if err != nil {
 		return response{}, err
 	}
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
-	answer, err := client.Do(request)
+	reply, err := client.Do(request)
 	if err != nil {
 		return response{}, err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	text, err := io.ReadAll(answer.Body)
-	return response{answer.StatusCode, answer.Header.Get("Content-Type"), string(text)}, err
+	defer func() { _ = reply.Body.Close() }()
+	text, err := io.ReadAll(reply.Body)
+	return response{reply.StatusCode, reply.Header.Get("Content-Type"), string(text)}, err
 }
 
+// call sends a request to the admin server and fails the test if it gets no response.
 func (p *proxyProcess) call(t *testing.T, method, target, body string) response {
 	t.Helper()
 	r, err := p.try(method, target, body)
@@ -163,34 +168,34 @@
 	return r
 }
 
-// until repeats a call until its response satisfies the condition.
-func (p *proxyProcess) until(t *testing.T, method, target string, good func(response) bool) response {
+// until repeats a request until its response satisfies the condition.
+func (p *proxyProcess) until(t *testing.T, method, target string, condition func(response) bool) response {
 	t.Helper()
 	var last response
 	var err error
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if last, err = p.try(method, target, ""); err == nil && good(last) {
+		if last, err = p.try(method, target, ""); err == nil && condition(last) {
 			return last
 		}
 	}
-	t.Fatalf("%s %s: not what is waited for: %v (%v)", method, target, last, err)
+	t.Fatalf("%s %s: condition not met in time: last response %v (%v)", method, target, last, err)
 	return last
 }
 
-// ready waits until the proxy says that it is ready.
+// ready waits until the readiness endpoint of the admin server reports ready.
 func (p *proxyProcess) ready(t *testing.T) {
 	t.Helper()
 	p.until(t, "GET", "/control/ready", func(r response) bool { return r.status == http.StatusOK })
 }
 
-// meets waits until the stand-in is known to be here, by all parts of the proxy.
+// meets waits until both gossip and duties list the peer beta as present.
 func (p *proxyProcess) meets(t *testing.T) {
 	t.Helper()
 	p.until(t, "GET", "/control/peers", func(r response) bool { return strings.Contains(r.body, "proxy beta here") })
 	p.until(t, "GET", "/control/turns", func(r response) bool { return strings.Contains(r.body, `"here":2,`) })
 }
 
-// stop tells the process to end and waits for that.
+// stop sends SIGTERM to the process and waits until it exits.
 func (p *proxyProcess) stop(t *testing.T) {
 	t.Helper()
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
@@ -199,15 +204,15 @@
 	p.wait(t)
 }
 
-// wait waits until the process has ended, as it should.
+// wait waits until the process exits, and reports an error unless it exits with code 0.
 func (p *proxyProcess) wait(t *testing.T) {
 	t.Helper()
 	if err := p.command.Wait(); err != nil {
-		t.Errorf("the proxy ended with %v", err)
+		t.Errorf("proxy exited: got %v, want exit code 0", err)
 	}
 }
 
-// run runs a subcommand of the program and returns what it printed.
+// run runs a subcommand of the program and returns its output.
 func (p *proxyProcess) run(t *testing.T, args ...string) string {
 	t.Helper()
 	text, err := exec.Command(p.program, args...).CombinedOutput()
@@ -224,7 +229,8 @@
 	jsonBool   = regexp.MustCompile(`:(true|false)`)
 )
 
-// maskNumbers leaves of a number how many decimals it has.
+// maskNumbers replaces the digits of numbers, and keeps the number of decimals. It also masks digests and the sign of
+// lags.
 func maskNumbers(text string) string {
 	text = digestText.ReplaceAllString(strings.ReplaceAll(text, "lag -", "lag "), "digest H")
 	return numberText.ReplaceAllStringFunc(text, func(number string) string {
@@ -236,12 +242,12 @@
 	})
 }
 
-// maskValues leaves the keys of a JSON text and the types of their values.
+// maskValues masks the values in a JSON text by their types.
 func maskValues(text string) string {
 	return maskNumbers(jsonBool.ReplaceAllString(jsonString.ReplaceAllString(text, `:"S"`), ":B"))
 }
 
-// maskSamples leaves HELP and TYPE lines and the names of samples.
+// maskSamples removes the values of samples from a metrics text, and keeps HELP and TYPE lines and sample names.
 func maskSamples(text string) string {
 	lines := strings.SplitAfter(text, "\n")
 	for i, line := range lines {
@@ -252,7 +258,7 @@
 	return strings.Join(lines, "")
 }
 
-// lineOf returns the line that begins with the prefix.
+// lineOf returns the first line that begins with the prefix, or an empty string.
 func lineOf(text, prefix string) string {
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(line, prefix) {
@@ -262,7 +268,7 @@
 	return ""
 }
 
-// silentListener takes what the stand-in hears, and does nothing with it.
+// silentListener ignores all events that the fake peer receives by gossip.
 type silentListener struct{}
 
 func (silentListener) EndpointChanged(int64, wire.Endpoint)  {}
@@ -273,30 +279,30 @@
 func (silentListener) MembersUpdated([]replica.Member, bool) {}
 func (silentListener) RowChanged(*replica.Row)               {}
 
-// standIn is a peer that says what a test has it say.
+// standIn is a fake peer, which publishes the gossip rows that a test passes to it.
 type standIn struct {
 	*gossip.Agent
 	t     *testing.T
-	leave func() // says goodbye, once
+	leave func() // announces the departure and stops the agent, once
 }
 
-// startPeer has the stand-in beta join the proxy.
+// startPeer starts the fake peer beta, which joins the proxy's cluster.
 func startPeer(t *testing.T, p *proxyProcess) standIn {
 	t.Helper()
 	addr := freeAddress(t)
 	config := &gossip.Config{Cluster: "c", Listen: addr, Advertise: addr, Seeds: []string{p.peers}, TakeoverDelaySeconds: 3, QuotaFloor: 0.25}
-	talker, err := gossip.Start(config, "beta", "b", 2, 60*replica.Second, 1, silentListener{}, zap.NewNop())
+	agent, err := gossip.Start(config, "beta", "b", 2, 60*replica.Second, 1, silentListener{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	leave := sync.OnceFunc(talker.Close)
+	leave := sync.OnceFunc(agent.Close)
 	t.Cleanup(leave)
-	return standIn{talker, t, leave}
+	return standIn{agent, t, leave}
 }
 
 const rowLife = 60 * replica.Second
 
-// speak says a row of the stand-in's own.
+// speak publishes a row that the fake peer owns.
 func (s standIn) speak(kind replica.Kind, key string, value any) {
 	s.t.Helper()
 	body, err := msgpack.Marshal(value)
@@ -306,14 +312,15 @@
 	s.PublishOwnRow(kind, key, rowLife, body)
 }
 
+// unknownKind is a kind of row that this version does not define, as a later version may publish.
 const unknownKind replica.Kind = 42
 
-// sayAll says a row of each kind but an order, which the proxy's operators give.
+// sayAll publishes a row of each kind except overrides, which are set by the proxy's operators.
 func (s standIn) sayAll() {
 	s.t.Helper()
 	s.PublishHealth("cache-a", false)
 	s.PublishEndpoints(42, false, []wire.Endpoint{{Name: "cache-a", Address: "127.0.0.1:1", Zone: "a", Ready: true}})
-	s.PublishSharedRow(replica.Row{Kind: replica.KindDeparture, Key: "beta", Epoch: 1}) // long before this process of beta
+	s.PublishSharedRow(replica.Row{Kind: replica.KindDeparture, Key: "beta", Epoch: 1}) // an incarnation long before that of this process of beta
 	s.speak(replica.KindZoneReport, "b", &zonehealth.Report{Zone: "b"})
 	s.speak(replica.KindEndpointProbe, "cache-a", &duties.Report{Round: 1})
 	s.speak(replica.KindWatchHeartbeat, "beta", &duties.Report{ValidFor: 5 * duties.Second})
@@ -322,13 +329,14 @@
 	s.speak(unknownKind, "thing", &struct{}{})
 }
 
-// A whole proxy with all of its parts on, and a peer: the texts, keys and names that its operators read.
+// TestProcessGolden compares the texts, keys and names that operators see at a proxy with all optional features and a
+// peer with golden files.
 func TestProcessGolden(t *testing.T) {
 	program := filepath.Join(buildPrograms(t), "woodproxy")
 	p := startProxy(t, program, knownList(fleetNodes()), allParts(t))
 	starting := p.until(t, "GET", "/control/ready", func(response) bool { return true })
 	if want := (response{503, plainText, "starting\n"}); starting != want {
-		t.Errorf("at the start: %v", starting)
+		t.Errorf("readiness at the start: got %v, want status starting", starting)
 	}
 	p.ready(t)
 	peer := startPeer(t, p)
@@ -367,11 +375,11 @@
 	})
 	goldentest.Text(t, "process_peers.golden", shown.masked(maskNumbers))
 	if got := maskNumbers(p.run(t, "peers", p.management)); got != maskNumbers(shown.body) {
-		t.Errorf("the subcommand prints %q", got)
+		t.Errorf("peers subcommand: got %q, want the text of /control/peers", got)
 	}
 }
 
-// testZonesText has each zone go through what the orders of operators and the words of a peer make of it.
+// testZonesText sets overrides for zones and publishes a peer's vote, and compares the zones' status after each step.
 func testZonesText(t *testing.T, p *proxyProcess, peer standIn) {
 	var all strings.Builder
 	zone := func(name, prefix, part string) {
@@ -384,7 +392,7 @@
 	first := p.until(t, "GET", "/control/zones", func(r response) bool { return strings.Contains(r.body, "zone c ") })
 	fmt.Fprintf(&all, "=== at the start\n%s", first.masked(maskNumbers))
 	if got := maskNumbers(p.run(t, "zones", p.management)); got != maskNumbers(first.body) {
-		t.Errorf("the subcommand prints %q", got)
+		t.Errorf("zones subcommand: got %q, want the text of /control/zones", got)
 	}
 	order("/control/zones/b/out?epoch=0")
 	zone("ordered out", "zone b ", "ordered out")
@@ -397,7 +405,7 @@
 	zone("a region ordered out", "zone c ", "ordered out")
 	order("/control/zones/a/out")
 	order("/control/zones/a/out?force=leave+no+zone")
-	zone("left by force", "zone a ", "ordered out")
+	zone("evacuated by force", "zone a ", "ordered out")
 	order("/control/zones/a/in")
 	zone("ordered in", "zone a ", "ordered in")
 	order("/control/zones/east/auto")
@@ -406,11 +414,11 @@
 	fmt.Fprintf(&all, "=== woodproxy zones ADDRESS c hold --epoch=2\n%s", p.run(t, "zones", p.management, "c", "hold", "--epoch=2"))
 	zone("held", "zone c ", "ordered hold")
 	peer.speak(replica.KindZoneReport, "c", &zonehealth.Report{Zone: "b", Vote: zonehealth.VoteUnhealthy, UnansweredRun: 3, Unanswered: 3})
-	zone("spoken against", "zone c ", "against: beta")
+	zone("unhealthy vote of a peer", "zone c ", "against: beta")
 	goldentest.Text(t, "process_zones.golden", all.String())
 }
 
-// askSteadily has a client ask for one key after the other until the test ends.
+// askSteadily has a client request one key after the other until the test ends.
 func askSteadily(t *testing.T, p *proxyProcess) {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.clients)
@@ -431,7 +439,8 @@
 	}()
 }
 
-// serveZones starts stand-ins for the nodes of zones a and b, and returns those of zone b.
+// serveZones starts fake servers for the nodes of zones a and b, sets the nodes' addresses, and returns the servers of
+// zone b.
 func serveZones(t *testing.T, nodes []listedNode) (zoneB []*emulator.Node) {
 	t.Helper()
 	for i := range nodes {
@@ -452,14 +461,14 @@
 	return zoneB
 }
 
-// Under traffic a proxy without peers passes by a zone whose nodes all go away.
+// A proxy without peers evacuates a zone on its own if none of the zone's nodes responds to its requests any longer.
 func TestProcessPassesByAlone(t *testing.T) {
 	nodes := fleetNodes()
 	zoneB := serveZones(t, nodes)
 	p := startProxy(t, filepath.Join(buildPrograms(t), "woodproxy"), knownList(nodes), onlyZones(t))
 	p.ready(t)
 	askSteadily(t, p)
-	time.Sleep(time.Second) // in which the zone answers
+	time.Sleep(time.Second) // during which the zone responds
 	for _, node := range zoneB {
 		node.Stop()
 	}
@@ -469,7 +478,7 @@
 	p.stop(t)
 }
 
-// Under traffic a proxy goes on in its own zone where others left that.
+// A proxy under load keeps using its own zone while the verdict of its peers is to evacuate that zone.
 func TestProcessServesForOthers(t *testing.T) {
 	nodes := fleetNodes()
 	serveZones(t, nodes)
@@ -498,7 +507,7 @@
 	goldentest.Text(t, "process_counters.golden", maskNumbers(p.run(t, "counters", p.clients)))
 }
 
-// manyNodes is an inventory of more nodes than one may have.
+// manyNodes returns an inventory with more nodes than the limit.
 func manyNodes() string {
 	var nodes []string
 	for i := range 501 {
@@ -507,30 +516,30 @@
 	return `{"nodes":[` + strings.Join(nodes, ",") + `]}`
 }
 
-// testPlans makes plans of small inventories: one that can be planned, and others that can't, each for a reason of its own.
+// testPlans requests plans for inventories: some that can be planned, and others that fail for different reasons.
 func testPlans(t *testing.T, p *proxyProcess) {
 	var all strings.Builder
 	const twoNodes = `"nodes":[{"name":"a","room_bytes":10,"zone":"x"},{"name":"b","room_bytes":10,"zone":"y"}]`
 	for _, c := range []struct{ name, inventory string }{
 		{"planned", `{` + twoNodes + `,"shards":[{"id":1,"bytes":6,"on":"a","want":"b"},{"id":2,"bytes":3}]}`},
-		{"by way of a third node", `{"nodes":[{"name":"a","room_bytes":10},{"name":"b","room_bytes":10},{"name":"c","room_bytes":8}],` +
+		{"through a third node", `{"nodes":[{"name":"a","room_bytes":10},{"name":"b","room_bytes":10},{"name":"c","room_bytes":8}],` +
 			`"shards":[{"id":1,"bytes":8,"on":"a","want":"b"},{"id":2,"bytes":8,"on":"b","want":"a"}]}`},
-		{"nothing to do", `{}`},
-		{"no body", ``},
-		{"no JSON", `{"nodes":[`},
-		{"no JSON at all", `what`},
+		{"empty inventory", `{}`},
+		{"empty body", ``},
+		{"truncated JSON", `{"nodes":[`},
+		{"not JSON", `what`},
 		{"unknown key", `{"nodes":[{"name":"a","colour":"red"}]}`},
 		{"mistyped", `{"nodes":[{"name":7}]}`},
 		{"mistyped shard", `{"shards":[{"id":"x"}]}`},
-		{"doubled node", `{"nodes":[{"name":"a"},{"name":"a"}]}`},
+		{"duplicate node", `{"nodes":[{"name":"a"},{"name":"a"}]}`},
 		{"unknown node", `{` + twoNodes + `,"shards":[{"id":1,"bytes":1,"on":"q"}]}`},
 		{"too many nodes", manyNodes()},
 		{"oversize", strings.Repeat(" ", 4<<20+1)},
-		{"no room", `{` + twoNodes + `,"shards":[{"id":1,"bytes":6,"on":"a","want":"b"},{"id":2,"bytes":6,"on":"b","want":"b"}]}`},
-		{"no room for a shard", `{` + twoNodes + `,"shards":[{"id":1,"bytes":11}]}`},
+		{"insufficient capacity", `{` + twoNodes + `,"shards":[{"id":1,"bytes":6,"on":"a","want":"b"},{"id":2,"bytes":6,"on":"b","want":"b"}]}`},
+		{"insufficient capacity for a shard", `{` + twoNodes + `,"shards":[{"id":1,"bytes":11}]}`},
 		{"pinned to a node that leaves", `{"nodes":[{"name":"a","room_bytes":10,"leaves":true},{"name":"b","room_bytes":10}],` +
 			`"shards":[{"id":1,"bytes":1,"on":"a","pin":true}]}`},
-		{"not so even", `{` + twoNodes + `,"shards":[{"id":1,"bytes":9,"on":"a"},{"id":2,"bytes":3,"on":"b"}]}`},
+		{"no balanced plan", `{` + twoNodes + `,"shards":[{"id":1,"bytes":9,"on":"a"},{"id":2,"bytes":3,"on":"b"}]}`},
 		{"stuck", `{` + twoNodes + `,"shards":[{"id":1,"bytes":8,"on":"a","want":"b"},{"id":2,"bytes":8,"on":"b","want":"a"}]}`},
 	} {
 		fmt.Fprintf(&all, "=== %s\n%s", c.name, p.call(t, "POST", "/control/moves/plan", c.inventory))
@@ -539,7 +548,8 @@
 	goldentest.Text(t, "process_plans.golden", all.String())
 }
 
-// busyPlan has one call send its inventory only in part, and makes others until one is told so.
+// busyPlan sends a part of an inventory, so that the planner is busy, and repeats another request until it is rejected
+// for that.
 func busyPlan(t *testing.T, p *proxyProcess) response {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.management)
@@ -562,18 +572,18 @@
 		{"/control/missing/forget", "forgotten here\n"},
 	} {
 		if got := p.call(t, "POST", c.target, ""); got != (response{200, plainText, c.want}) {
-			t.Errorf("POST %s: %v", c.target, got)
+			t.Errorf("POST %s: got unexpected response %v", c.target, got)
 		}
 	}
 	ready := p.call(t, "GET", "/control/ready", "")
 	if !readyText.MatchString(ready.body) || ready.status != 200 || ready.contentType != plainText {
-		t.Errorf("ready: %v", ready)
+		t.Errorf("readiness: got unexpected response %v", ready)
 	}
 }
 
 var readyText = regexp.MustCompile(`^ready(; catching up with peers|; (alone|catching up|warming), since [^\n]+)?\n$`)
 
-// A proxy without any of its parts says of each call that there is nothing to show.
+// TestProcessWithoutPartsGolden compares the responses of a proxy without any optional features with a golden file.
 func TestProcessWithoutPartsGolden(t *testing.T) {
 	p := startProxy(t, filepath.Join(buildPrograms(t), "woodproxy"), knownList(fleetNodes()), noParts)
 	p.ready(t)
@@ -598,13 +608,13 @@
 	for _, subcommand := range []string{"peers", "zones"} {
 		text, err := exec.Command(p.program, subcommand, p.management).CombinedOutput()
 		if want := "woodproxy: no file of " + subcommand + " is named\n"; err == nil || string(text) != want {
-			t.Errorf("%s: %q (%v)", subcommand, text, err)
+			t.Errorf("%s subcommand: got %q (%v), want the error that no file is named", subcommand, text, err)
 		}
 	}
 	p.stop(t)
 }
 
-// The proxy's log lines and messages of a bad start go to standard error, and its exit code is 1.
+// A proxy that fails to start exits with code 1 and writes the error to standard error.
 func TestProcessBadStart(t *testing.T) {
 	program := filepath.Join(buildPrograms(t), "woodproxy")
 	listener, err := net.Listen("tcp", "127.10.9.2:0")
@@ -619,11 +629,11 @@
 	var stderr bytes.Buffer
 	command.Stderr = &stderr
 	if err := command.Run(); err == nil || command.ProcessState.ExitCode() != 1 {
-		t.Errorf("ended with %v", err)
+		t.Errorf("got %v, want exit code 1", err)
 	}
 	want := fmt.Sprintf("woodproxy: configuration: management: a process that replaces another needs an address of its own: "+
 		"listen tcp %s: bind: address already in use\n", listener.Addr())
 	if !strings.HasSuffix(stderr.String(), want) {
-		t.Errorf("got %q, want at its end %q", stderr.String(), want)
+		t.Errorf("got standard error %q, want suffix %q", stderr.String(), want)
 	}
 }
