--- a/cmd/woodproxy/bounds_test.go
+++ b/cmd/woodproxy/bounds_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// publishWhole sends the complete endpoint list to all watches.
-func (d *listStandIn) publishWhole() {
+// publishCompleteList sends the complete endpoint list to all watches.
+func (d *fakeDiscovery) publishCompleteList() {
 	d.change(func() { d.sent = append(d.sent, d.object(true, d.list())) })
 }
 
 // resetWatches resets the connections of all watches.
-func (d *listStandIn) resetWatches() { d.change(func() { d.resets++ }) }
+func (d *fakeDiscovery) resetWatches() { d.change(func() { d.resets++ }) }
 
 // setSilent sets whether watches receive nothing, not even heartbeats.
-func (d *listStandIn) setSilent(silent bool) { d.change(func() { d.silent = silent }) }
+func (d *fakeDiscovery) setSilent(silent bool) { d.change(func() { d.silent = silent }) }
 
-// waysOfBeingTold are sequences of events that change the proxy's endpoint list or its connection to discovery.
-var waysOfBeingTold = map[string]func(t *testing.T, p *fleetProxy){
+// endpointListEvents are sequences of events that change the proxy's endpoint list or its connection to discovery.
+var endpointListEvents = map[string]func(t *testing.T, p *fleetProxy){
 	"one change at a time": publishChanges,
 	"complete lists": func(_ *testing.T, p *fleetProxy) {
 		for number := range 3 {
-			p.discovery.publish(fleetRow(number, "leaving"))
-			p.discovery.publishWhole()
+			p.discovery.publish(fleetEndpoint(number, "leaving"))
+			p.discovery.publishCompleteList()
 			time.Sleep(300 * time.Millisecond)
 		}
 	},
@@ -56,13 +56,13 @@
 	},
 }
 
-// TestNeedsFollowServersWithinThePagesBounds checks that memory and CPU time at many servers stay within the bounds of
+// TestCostOfManyServersWithinThePagesBounds checks that memory and CPU time at many servers stay within the bounds of
 // the operators' page. With 16 times as many servers, a proxy once used several times the allowed memory and 30 times the
 // allowed CPU time.
-func TestNeedsFollowServersWithinThePagesBounds(t *testing.T) {
+func TestCostOfManyServersWithinThePagesBounds(t *testing.T) {
 	program := filepath.Join(buildPrograms(t), "woodproxy")
-	for name, tell := range waysOfBeingTold {
-		t.Run(name, func(t *testing.T) { checkGrowth(t, program, false, tell) })
+	for name, changeList := range endpointListEvents {
+		t.Run(name, func(t *testing.T) { checkGrowth(t, program, false, changeList) })
 	}
 	t.Run("indented, in small writes", func(t *testing.T) { checkGrowth(t, program, true, publishChanges) })
 }
--- a/cmd/woodproxy/check.go
+++ b/cmd/woodproxy/check.go
@@ -45,7 +45,8 @@
 		fmt.Printf("%s: good; capacity %d keys, TTL %v s\n", c.Missing, missing.Entries, seconds)
 	}
 	if moves := config.Rebalance; moves != nil {
-		fmt.Printf("%s: good; slack %v, at most %d migrations per node, %d in total\n", c.Moves, moves.Slack, moves.MaxMigrationsPerNode, moves.MaxMigrations)
+		fmt.Printf("%s: good; slack %v, at most %d migrations per node, %d in total\n",
+			c.Moves, moves.Slack, moves.MaxMigrationsPerNode, moves.MaxMigrations)
 	}
 	if turns := config.Duties; turns != nil {
 		fmt.Printf("%s: good; %d watchers, %d keepers\n", c.Turns, turns.Watchers, turns.IdleOwners)
--- a/cmd/woodproxy/cli_golden_test.go
+++ b/cmd/woodproxy/cli_golden_test.go
@@ -90,8 +90,8 @@
 // cliConfig is the configuration of the command line tests. They only check it, and start no proxy with it.
 const cliConfig = `{"name":"alpha","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f","settings":` + cliSettings + `}`
 
-// partFiles contains the files of optional features by the flag that names them. ADDRESS is replaced by a free address.
-var partFiles = map[string]string{
+// featureFiles contains the files of optional features by the flag that names them. ADDRESS is replaced by a free address.
+var featureFiles = map[string]string{
 	"peers":   "cluster = \"c\"\nlisten = \"ADDRESS\"\nseeds = [\"127.10.8.2:27946\"]\n",
 	"zones":   "[[region]]\nname = \"east\"\nzones = [\"b\", \"c\"]\n",
 	"turns":   "watchers = 8\nkeepers = 4\n",
@@ -99,13 +99,13 @@
 	"moves":   "slack = 0.1\n",
 }
 
-// partFlags writes the files of all optional features, creates the state directory and returns the flags that name them.
-func partFlags(t *testing.T, dir string) []string {
+// featureFlags writes the files of all optional features, creates the state directory and returns the flags that name them.
+func featureFlags(t *testing.T, dir string) []string {
 	t.Helper()
 	if err := os.Mkdir(filepath.Join(dir, "state"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range partFiles {
+	for name, text := range featureFiles {
 		writeFile(t, dir, name+".toml", strings.Replace(text, "ADDRESS", freeAddress(t), 1))
 	}
 	return []string{"--peers=peers.toml", "--zones=zones.toml", "--turns=turns.toml", "--missing=missing.toml", "--moves=moves.toml", "--state=state"}
@@ -128,8 +128,8 @@
 		"woodproxy help":     testProxyHelp,
 		"woodproxy commands": testProxyCommands,
 		"woodproxy version":  testProxyVersion,
-		"emulator":           testLab,
-		"simhost":            testSimulatorHost,
+		"emulator":           testEmulator,
+		"simhost":            testSimhost,
 	} {
 		t.Run(name, func(t *testing.T) { test(t, programs) })
 	}
@@ -142,7 +142,7 @@
 // testProxyCommands checks exit codes, error lines and the output of the check subcommand.
 func testProxyCommands(t *testing.T, programs string) {
 	dir := t.TempDir()
-	parts := partFlags(t, dir)
+	parts := featureFlags(t, dir)
 	writeFile(t, dir, "good.json", cliConfig)
 	writeFile(t, dir, "watched.json", strings.Replace(cliConfig, `"seed"`, `"watch":{"tick":6},"seed"`, 1))
 	writeFile(t, dir, "told.json", strings.Replace(cliConfig, `"may-cancel"`, `"may-tell":true,"may-cancel"`, 1)) // lacks the key "me"
@@ -211,7 +211,7 @@
 	}
 }
 
-var labCommands = []command{
+var emulatorCommands = []command{
 	{program: "emulator"},
 	{program: "emulator", args: []string{"--help"}},
 	{program: "emulator", args: []string{"check", "--help"}},
@@ -239,15 +239,15 @@
 	{program: "emulator", args: []string{"spread", "--sizes=10", "--loss=1"}},
 }
 
-func testLab(t *testing.T, programs string) {
+func testEmulator(t *testing.T, programs string) {
 	dir := t.TempDir()
 	writeFile(t, dir, "bad.toml", "unknown_key = 1\n")
-	goldentest.Text(t, "emulator.golden", outputs(t, programs, dir, labCommands))
+	goldentest.Text(t, "emulator.golden", outputs(t, programs, dir, emulatorCommands))
 }
 
-// testSimulatorHost checks the exit code of simhost, and the error line for malformed input, which names the input line,
+// testSimhost checks the exit code of simhost, and the error line for malformed input, which names the input line,
 // the message and the field.
-func testSimulatorHost(t *testing.T, programs string) {
+func testSimhost(t *testing.T, programs string) {
 	host := func(input string) command { return command{program: "simhost", input: input} }
 	all := []command{
 		host(""),
--- a/cmd/woodproxy/growth_test.go
+++ b/cmd/woodproxy/growth_test.go
@@ -18,8 +18,8 @@
 	cpu    time.Duration
 }
 
-// end kills the process and returns its cost.
-func (p *fleetProxy) end(t *testing.T) cost {
+// killAndMeasure kills the process and returns its cost.
+func (p *fleetProxy) killAndMeasure(t *testing.T) cost {
 	t.Helper()
 	peak := p.peakMemoryMB(t)
 	_ = p.command.Process.Kill() // the process runs: its memory was read just before
@@ -41,39 +41,40 @@
 	for step := range steps {
 		var rows []emulator.Endpoint
 		for number := step; number < servers*6/10; number += steps {
-			rows = append(rows, fleetRow(number, "left"), fleetRow(servers+number, "active"))
+			rows = append(rows, fleetEndpoint(number, "left"), fleetEndpoint(servers+number, "active"))
 		}
 		p.discovery.publish(rows...)
 		time.Sleep(150 * time.Millisecond)
 	}
 }
 
-// needs returns the minimum cost of a proxy in two runs, since other load on the machine can only increase the cost.
-func needs(t *testing.T, program string, servers int, indented bool, tell func(t *testing.T, p *fleetProxy)) cost {
+// measureCost returns the minimum cost of a proxy in two runs, since other load on the machine can only increase the cost.
+func measureCost(t *testing.T, program string, servers int, indented bool, changeList func(t *testing.T, p *fleetProxy)) cost {
 	t.Helper()
 	minimum := cost{math.Inf(1), math.MaxInt64}
 	for range 2 {
-		discovery := startListStandIn(t, servers)
+		discovery := startFakeDiscovery(t, servers)
 		discovery.indented = indented
 		p := startFleetProxy(t, program, discovery)
 		time.Sleep(500 * time.Millisecond)
-		tell(t, p)
+		changeList(t, p)
 		time.Sleep(300 * time.Millisecond)
-		run := p.end(t)
+		run := p.killAndMeasure(t)
 		minimum = cost{min(minimum.peakMB, run.peakMB), min(minimum.cpu, run.cpu)}
 	}
 	return minimum
 }
 
 // checkGrowth compares the cost of a proxy at many servers with the bounds that follow from its cost at usualServers.
-func checkGrowth(t *testing.T, program string, indented bool, tell func(t *testing.T, p *fleetProxy)) {
+func checkGrowth(t *testing.T, program string, indented bool, changeList func(t *testing.T, p *fleetProxy)) {
 	t.Helper()
-	usual, many := needs(t, program, usualServers, indented, tell), needs(t, program, manyServers, indented, tell)
+	usual, many := measureCost(t, program, usualServers, indented, changeList),
+		measureCost(t, program, manyServers, indented, changeList)
 	thousands := manyServers / 1000.0
 	maxMB := memoryFactor*usual.peakMB + memoryExtraMB + memoryMBPerThousand*thousands
 	maxCPU := time.Duration(cpuFactor*float64(usual.cpu)+thousands*float64(cpuPerThousand)) + cpuExtra
-	t.Logf("%d servers: %.1f MB, %v CPU; %d servers: %.1f MB, at most %.1f, %v CPU, at most %v", usualServers, usual.peakMB, usual.cpu,
-		manyServers, many.peakMB, maxMB, many.cpu, maxCPU)
+	t.Logf("%d servers: %.1f MB, %v CPU; %d servers: %.1f MB, at most %.1f, %v CPU, at most %v",
+		usualServers, usual.peakMB, usual.cpu, manyServers, many.peakMB, maxMB, many.cpu, maxCPU)
 	if many.peakMB > maxMB || many.cpu > maxCPU {
 		t.Errorf("%d servers: got %.1f MB, %v CPU, want at most %.1f MB, %v", manyServers, many.peakMB, many.cpu, maxMB, maxCPU)
 	}
--- a/cmd/woodproxy/liststandin_test.go
+++ b/cmd/woodproxy/liststandin_test.go
@@ -17,9 +17,9 @@
 // heartbeatInterval is the interval at which an open watch receives an empty line.
 const heartbeatInterval = 500 * time.Millisecond
 
-// listStandIn is a fake discovery server. It sends the complete endpoint list to each new watch, and then the changes
+// fakeDiscovery is a fake discovery server. It sends the complete endpoint list to each new watch, and then the changes
 // that the test publishes.
-type listStandIn struct {
+type fakeDiscovery struct {
 	indented bool // whether objects are indented over many lines and sent in small writes
 	addr     [2]string
 
@@ -33,10 +33,10 @@
 	resets  int           // number of times that all watches were reset
 }
 
-func startListStandIn(t *testing.T, servers int) *listStandIn {
+func startFakeDiscovery(t *testing.T, servers int) *fakeDiscovery {
 	t.Helper()
-	d := &listStandIn{rows: map[string]emulator.Endpoint{}, changed: make(chan struct{})}
-	d.publish(fleetRows(servers)...)
+	d := &fakeDiscovery{rows: map[string]emulator.Endpoint{}, changed: make(chan struct{})}
+	d.publish(fleetEndpoints(servers)...)
 	for i := range d.addr {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -51,7 +51,7 @@
 }
 
 // publish updates entries of the endpoint list and sends them to all watches as one change.
-func (d *listStandIn) publish(rows ...emulator.Endpoint) {
+func (d *fakeDiscovery) publish(rows ...emulator.Endpoint) {
 	d.change(func() {
 		for _, row := range rows {
 			if _, known := d.rows[row.Name]; !known {
@@ -64,7 +64,7 @@
 }
 
 // change calls the function with the lock held, and wakes all watches.
-func (d *listStandIn) change(change func()) {
+func (d *fakeDiscovery) change(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -73,7 +73,7 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *listStandIn) list() (rows []emulator.Endpoint) {
+func (d *fakeDiscovery) list() (rows []emulator.Endpoint) {
 	for _, name := range d.order {
 		if row := d.rows[name]; row.Status != "left" {
 			rows = append(rows, row)
@@ -83,7 +83,7 @@
 }
 
 // object encodes entries as a JSON object of the discovery protocol.
-func (d *listStandIn) object(whole bool, rows []emulator.Endpoint) string {
+func (d *fakeDiscovery) object(whole bool, rows []emulator.Endpoint) string {
 	lines := make([]string, len(rows))
 	for i, row := range rows {
 		lines[i] = row.String()
@@ -95,15 +95,15 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`+"\n", d.version, whole, strings.Join(lines, ","))
 }
 
-// known returns the complete list in the form that a configuration contains.
-func (d *listStandIn) known() string {
+// completeList returns the complete list in the form that a configuration contains.
+func (d *fakeDiscovery) completeList() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return strings.TrimSpace(d.object(true, d.list()))
 }
 
 // serve handles one watch.
-func (d *listStandIn) serve(w http.ResponseWriter, request *http.Request) {
+func (d *fakeDiscovery) serve(w http.ResponseWriter, request *http.Request) {
 	d.mu.Lock()
 	next, resets, first := len(d.sent), d.resets, d.object(true, d.list())
 	d.mu.Unlock()
@@ -132,7 +132,7 @@
 }
 
 // write sends a text, in small writes if objects are indented.
-func (d *listStandIn) write(w http.ResponseWriter, text string) {
+func (d *fakeDiscovery) write(w http.ResponseWriter, text string) {
 	piece := len(text)
 	if d.indented {
 		piece = 4001 // bytes
--- a/cmd/woodproxy/managementaddress_test.go
+++ b/cmd/woodproxy/managementaddress_test.go
@@ -12,7 +12,7 @@
 // the listener. It once took over the listener and then exited.
 func TestReplacementWithSameManagementAddressTakesNothingOver(t *testing.T) {
 	program := filepath.Join(buildPrograms(t), "woodproxy")
-	first := startFleetProxy(t, program, startListStandIn(t, 1))
+	first := startFleetProxy(t, program, startFakeDiscovery(t, 1))
 	for _, verb := range []string{"serve", "check"} {
 		second := exec.Command(program, append([]string{verb}, first.command.Args[2:]...)...)
 		second.Dir, second.Env = first.command.Dir, first.command.Env
@@ -26,7 +26,7 @@
 			t.Errorf("%s: got log %s, want the address error and no inherited listener", verb, log.String())
 		}
 	}
-	if !pong(first.clients) {
+	if !respondsToPing(first.clients) {
 		t.Error("the first process no longer responds")
 	}
 }
--- a/cmd/woodproxy/manyservers_test.go
+++ b/cmd/woodproxy/manyservers_test.go
@@ -24,19 +24,19 @@
 	memoryLimitMB = 64
 )
 
-// fleetRow returns the endpoint list entry of the server with the given number. Nothing listens at its address.
-func fleetRow(number int, status string) emulator.Endpoint {
+// fleetEndpoint returns the endpoint list entry of the server with the given number. Nothing listens at its address.
+func fleetEndpoint(number int, status string) emulator.Endpoint {
 	return emulator.Endpoint{
 		Name: fmt.Sprintf("s-%08x", number*2654435761), Address: fmt.Sprintf("127.11.%d.%d:6379", number/250, number%250+1),
 		Zone: string(rune('a' + number%3)), Kind: "std", Status: status,
 	}
 }
 
-// fleetRows returns the complete endpoint list of a fleet: its servers and the origin.
-func fleetRows(servers int) []emulator.Endpoint {
+// fleetEndpoints returns the complete endpoint list of a fleet: its servers and the origin.
+func fleetEndpoints(servers int) []emulator.Endpoint {
 	rows := []emulator.Endpoint{{Name: "origin", Address: unreachable, Kind: "origin", Status: "active"}}
 	for number := range servers {
-		rows = append(rows, fleetRow(number, "active"))
+		rows = append(rows, fleetEndpoint(number, "active"))
 	}
 	return rows
 }
@@ -44,7 +44,7 @@
 // fleetProxy is a proxy process whose endpoint list contains a fleet of servers.
 type fleetProxy struct {
 	command    *exec.Cmd
-	discovery  *listStandIn
+	discovery  *fakeDiscovery
 	startedAt  time.Time
 	dir        string
 	clients    string // address
@@ -52,10 +52,10 @@
 }
 
 // startFleetProxy starts a proxy whose configuration contains the same fleet of servers as its discovery.
-func startFleetProxy(t *testing.T, program string, discovery *listStandIn) *fleetProxy {
+func startFleetProxy(t *testing.T, program string, discovery *fakeDiscovery) *fleetProxy {
 	t.Helper()
 	p := &fleetProxy{discovery: discovery, dir: t.TempDir(), clients: freeAddress(t), management: freeAddress(t)}
-	writeFile(t, p.dir, "zones.toml", partFiles["zones"])
+	writeFile(t, p.dir, "zones.toml", featureFiles["zones"])
 	p.configure(t, 0)
 	p.start(t, program)
 	return p
@@ -65,7 +65,7 @@
 func (p *fleetProxy) configure(t *testing.T, address int) {
 	t.Helper()
 	text := strings.Replace(cliConfig, `"seed"`, fmt.Sprintf(
-		`"known":%s,"limits":{"cores":1,"memory_mb":%d,"sockets":640},"seed"`, p.discovery.known(), memoryLimitMB), 1)
+		`"known":%s,"limits":{"cores":1,"memory_mb":%d,"sockets":640},"seed"`, p.discovery.completeList(), memoryLimitMB), 1)
 	text = strings.Replace(text, "127.0.0.1:2", p.discovery.addr[address], 1)
 	writeFile(t, p.dir, "config.json", text)
 }
@@ -90,7 +90,7 @@
 func (p *fleetProxy) awaitReady(t *testing.T) {
 	t.Helper()
 	for time.Since(p.startedAt) < readyWithin {
-		if pong(p.clients) {
+		if respondsToPing(p.clients) {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -98,8 +98,8 @@
 	t.Fatalf("not ready %v after the start", readyWithin)
 }
 
-// pong reports whether a proxy responds to a PING command.
-func pong(address string) bool {
+// respondsToPing reports whether a proxy responds to a PING command.
+func respondsToPing(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
@@ -138,7 +138,7 @@
 // memory must stay within the limit.
 func TestStartWithThousandsOfServersStaysWithinMemoryLimit(t *testing.T) {
 	program := filepath.Join(buildPrograms(t), "woodproxy")
-	p := startFleetProxy(t, program, startListStandIn(t, manyServers))
+	p := startFleetProxy(t, program, startFakeDiscovery(t, manyServers))
 	publishChanges(t, p)
 	if peak := p.peakMemoryMB(t); peak > memoryLimitMB {
 		t.Errorf("%d servers: got a peak of %.1f MB resident, want at most %d MB", manyServers, peak, memoryLimitMB)
@@ -148,7 +148,7 @@
 // publishChanges publishes changes of single servers to draining, one after the other.
 func publishChanges(_ *testing.T, p *fleetProxy) {
 	for number := range listChanges {
-		p.discovery.publish(fleetRow(number, "leaving"))
+		p.discovery.publish(fleetEndpoint(number, "leaving"))
 		time.Sleep(changeInterval)
 	}
 }
--- a/cmd/woodproxy/process_golden_test.go
+++ b/cmd/woodproxy/process_golden_test.go
@@ -29,8 +29,8 @@
 	"go.uber.org/zap"
 )
 
-// patience is the maximum time to wait for a condition.
-const patience = 15 * time.Second
+// waitTimeout is the maximum time to wait for a condition.
+const waitTimeout = 15 * time.Second
 
 // proxyProcess is a running proxy.
 type proxyProcess struct {
@@ -70,36 +70,36 @@
 	return `{"index":41,"snapshot":true,"endpoints":[` + strings.Join(rows, ",") + `]}`
 }
 
-// allParts returns a function that writes the files of all optional features and returns their flags.
-func allParts(t *testing.T) func(dir string) []string {
+// allFeatures returns a function that writes the files of all optional features and returns their flags.
+func allFeatures(t *testing.T) func(dir string) []string {
 	return func(dir string) []string {
 		t.Helper()
-		return append(partFlags(t, dir), "--peers-listen=PEERS")
+		return append(featureFlags(t, dir), "--peers-listen=PEERS")
 	}
 }
 
-// onlyZones is like allParts, but returns only the flag of the zone health file.
+// onlyZones is like allFeatures, but returns only the flag of the zone health file.
 func onlyZones(t *testing.T) func(dir string) []string {
 	return func(dir string) []string {
 		t.Helper()
-		partFlags(t, dir)
+		featureFlags(t, dir)
 		return []string{"--zones=zones.toml"}
 	}
 }
 
-// noParts returns no flags of optional features.
-func noParts(string) []string { return nil }
+// noFeatures returns no flags of optional features.
+func noFeatures(string) []string { return nil }
 
-// startProxy starts the proxy alpha with the flags that parts returns, in which PEERS is replaced by the proxy's address
-// for gossip. Nothing listens at the address of discovery.
-func startProxy(t *testing.T, program, known string, parts func(dir string) []string) *proxyProcess {
+// startProxy starts the proxy alpha with the flags that features returns, in which PEERS is replaced by the proxy's
+// address for gossip. Nothing listens at the address of discovery.
+func startProxy(t *testing.T, program, known string, features func(dir string) []string) *proxyProcess {
 	t.Helper()
 	dir := t.TempDir()
 	p := &proxyProcess{program: program, log: &bytes.Buffer{}, clients: freeAddress(t), management: freeAddress(t), peers: freeAddress(t)}
 	writeFile(t, dir, "config.json", strings.Replace(cliConfig, `"seed"`, `"known":`+known+`,"seed"`, 1))
 	args := []string{"serve", "--config=config.json", "--listen=" + p.clients, "--management=" + p.management}
-	for _, part := range parts(dir) {
-		args = append(args, strings.ReplaceAll(part, "PEERS", p.peers))
+	for _, flag := range features(dir) {
+		args = append(args, strings.ReplaceAll(flag, "PEERS", p.peers))
 	}
 	p.command = exec.Command(program, args...)
 	p.command.Dir, p.command.Env, p.command.Stderr = dir, []string{"TMPDIR=" + dir}, p.log
@@ -142,8 +142,8 @@
 	return response{r.status, r.contentType, mask(r.body)}.String()
 }
 
-// try sends a request to the admin server.
-func (p *proxyProcess) try(method, target, body string) (response, error) {
+// send sends a request to the admin server.
+func (p *proxyProcess) send(method, target, body string) (response, error) {
 	request, err := http.NewRequest(method, "http://"+p.management+target, strings.NewReader(body))
 	if err != nil {
 		return response{}, err
@@ -161,20 +161,20 @@
 // call sends a request to the admin server and fails the test if it gets no response.
 func (p *proxyProcess) call(t *testing.T, method, target, body string) response {
 	t.Helper()
-	r, err := p.try(method, target, body)
+	r, err := p.send(method, target, body)
 	if err != nil {
 		t.Fatalf("%s %s: %v", method, target, err)
 	}
 	return r
 }
 
-// until repeats a request until its response satisfies the condition.
-func (p *proxyProcess) until(t *testing.T, method, target string, condition func(response) bool) response {
+// awaitResponse repeats a request until its response satisfies the condition.
+func (p *proxyProcess) awaitResponse(t *testing.T, method, target string, condition func(response) bool) response {
 	t.Helper()
 	var last response
 	var err error
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if last, err = p.try(method, target, ""); err == nil && condition(last) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if last, err = p.send(method, target, ""); err == nil && condition(last) {
 			return last
 		}
 	}
@@ -182,17 +182,17 @@
 	return last
 }
 
-// ready waits until the readiness endpoint of the admin server reports ready.
-func (p *proxyProcess) ready(t *testing.T) {
+// awaitReady waits until the readiness endpoint of the admin server reports ready.
+func (p *proxyProcess) awaitReady(t *testing.T) {
 	t.Helper()
-	p.until(t, "GET", "/control/ready", func(r response) bool { return r.status == http.StatusOK })
+	p.awaitResponse(t, "GET", "/control/ready", func(r response) bool { return r.status == http.StatusOK })
 }
 
-// meets waits until both gossip and duties list the peer beta as present.
-func (p *proxyProcess) meets(t *testing.T) {
+// awaitPeer waits until both gossip and duties list the peer beta as present.
+func (p *proxyProcess) awaitPeer(t *testing.T) {
 	t.Helper()
-	p.until(t, "GET", "/control/peers", func(r response) bool { return strings.Contains(r.body, "proxy beta here") })
-	p.until(t, "GET", "/control/turns", func(r response) bool { return strings.Contains(r.body, `"here":2,`) })
+	p.awaitResponse(t, "GET", "/control/peers", func(r response) bool { return strings.Contains(r.body, "proxy beta here") })
+	p.awaitResponse(t, "GET", "/control/turns", func(r response) bool { return strings.Contains(r.body, `"here":2,`) })
 }
 
 // stop sends SIGTERM to the process and waits until it exits.
@@ -201,11 +201,11 @@
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.wait(t)
+	p.awaitExit(t)
 }
 
-// wait waits until the process exits, and reports an error unless it exits with code 0.
-func (p *proxyProcess) wait(t *testing.T) {
+// awaitExit waits until the process exits, and reports an error unless it exits with code 0.
+func (p *proxyProcess) awaitExit(t *testing.T) {
 	t.Helper()
 	if err := p.command.Wait(); err != nil {
 		t.Errorf("proxy exited: got %v, want exit code 0", err)
@@ -268,79 +268,80 @@
 	return ""
 }
 
-// silentListener ignores all events that the fake peer receives by gossip.
-type silentListener struct{}
+// noopListener ignores all events that the fake peer receives by gossip.
+type noopListener struct{}
 
-func (silentListener) EndpointChanged(int64, wire.Endpoint)  {}
-func (silentListener) HealthReported(string, bool)           {}
-func (silentListener) QuotaShareChanged(float64)             {}
-func (silentListener) RequestCount() int64                   { return 0 }
-func (silentListener) WriteRowCount() int64                  { return 0 }
-func (silentListener) MembersUpdated([]replica.Member, bool) {}
-func (silentListener) RowChanged(*replica.Row)               {}
+func (noopListener) EndpointChanged(int64, wire.Endpoint)  {}
+func (noopListener) HealthReported(string, bool)           {}
+func (noopListener) QuotaShareChanged(float64)             {}
+func (noopListener) RequestCount() int64                   { return 0 }
+func (noopListener) WriteRowCount() int64                  { return 0 }
+func (noopListener) MembersUpdated([]replica.Member, bool) {}
+func (noopListener) RowChanged(*replica.Row)               {}
 
-// standIn is a fake peer, which publishes the gossip rows that a test passes to it.
-type standIn struct {
+// fakePeer is a member of the cluster without a proxy. It publishes the gossip rows that a test passes to it.
+type fakePeer struct {
 	*gossip.Agent
 	t     *testing.T
 	leave func() // announces the departure and stops the agent, once
 }
 
 // startPeer starts the fake peer beta, which joins the proxy's cluster.
-func startPeer(t *testing.T, p *proxyProcess) standIn {
+func startPeer(t *testing.T, p *proxyProcess) fakePeer {
 	t.Helper()
 	addr := freeAddress(t)
 	config := &gossip.Config{Cluster: "c", Listen: addr, Advertise: addr, Seeds: []string{p.peers}, TakeoverDelaySeconds: 3, QuotaFloor: 0.25}
-	agent, err := gossip.Start(config, "beta", "b", 2, 60*replica.Second, 1, silentListener{}, zap.NewNop())
+	agent, err := gossip.Start(config, "beta", "b", 2, 60*replica.Second, 1, noopListener{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	leave := sync.OnceFunc(agent.Close)
 	t.Cleanup(leave)
-	return standIn{agent, t, leave}
+	return fakePeer{agent, t, leave}
 }
 
-const rowLife = 60 * replica.Second
+const rowTTL = 60 * replica.Second
 
-// speak publishes a row that the fake peer owns.
-func (s standIn) speak(kind replica.Kind, key string, value any) {
+// publishRow publishes a row that the fake peer owns.
+func (s fakePeer) publishRow(kind replica.Kind, key string, value any) {
 	s.t.Helper()
 	body, err := msgpack.Marshal(value)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.PublishOwnRow(kind, key, rowLife, body)
+	s.PublishOwnRow(kind, key, rowTTL, body)
 }
 
 // unknownKind is a kind of row that this version does not define, as a later version may publish.
 const unknownKind replica.Kind = 42
 
-// sayAll publishes a row of each kind except overrides, which are set by the proxy's operators.
-func (s standIn) sayAll() {
+// publishAllKinds publishes a row of each kind except overrides, which are set by the proxy's operators.
+func (s fakePeer) publishAllKinds() {
 	s.t.Helper()
 	s.PublishHealth("cache-a", false)
 	s.PublishEndpoints(42, false, []wire.Endpoint{{Name: "cache-a", Address: "127.0.0.1:1", Zone: "a", Ready: true}})
-	s.PublishSharedRow(replica.Row{Kind: replica.KindDeparture, Key: "beta", Epoch: 1}) // an incarnation long before that of this process of beta
-	s.speak(replica.KindZoneReport, "b", &zonehealth.Report{Zone: "b"})
-	s.speak(replica.KindEndpointProbe, "cache-a", &duties.Report{Round: 1})
-	s.speak(replica.KindWatchHeartbeat, "beta", &duties.Report{ValidFor: 5 * duties.Second})
-	s.speak(replica.KindWrittenKeys, "s0", &negativecache.KeyReport{})
-	s.speak(replica.KindAbsentKeys, "s0", &negativecache.KeyReport{})
-	s.speak(unknownKind, "thing", &struct{}{})
+	// The departure is of an incarnation long before that of this process of beta.
+	s.PublishSharedRow(replica.Row{Kind: replica.KindDeparture, Key: "beta", Epoch: 1})
+	s.publishRow(replica.KindZoneReport, "b", &zonehealth.Report{Zone: "b"})
+	s.publishRow(replica.KindEndpointProbe, "cache-a", &duties.Report{Round: 1})
+	s.publishRow(replica.KindWatchHeartbeat, "beta", &duties.Report{ValidFor: 5 * duties.Second})
+	s.publishRow(replica.KindWrittenKeys, "s0", &negativecache.KeyReport{})
+	s.publishRow(replica.KindAbsentKeys, "s0", &negativecache.KeyReport{})
+	s.publishRow(unknownKind, "thing", &struct{}{})
 }
 
 // TestProcessGolden compares the texts, keys and names that operators see at a proxy with all optional features and a
 // peer with golden files.
 func TestProcessGolden(t *testing.T) {
 	program := filepath.Join(buildPrograms(t), "woodproxy")
-	p := startProxy(t, program, knownList(fleetNodes()), allParts(t))
-	starting := p.until(t, "GET", "/control/ready", func(response) bool { return true })
+	p := startProxy(t, program, knownList(fleetNodes()), allFeatures(t))
+	starting := p.awaitResponse(t, "GET", "/control/ready", func(response) bool { return true })
 	if want := (response{503, plainText, "starting\n"}); starting != want {
 		t.Errorf("readiness at the start: got %v, want status starting", starting)
 	}
-	p.ready(t)
+	p.awaitReady(t)
 	peer := startPeer(t, p)
-	p.meets(t)
+	p.awaitPeer(t)
 
 	t.Run("zones", func(t *testing.T) { testZonesText(t, p, peer) })
 	t.Run("peers", func(t *testing.T) { testPeersText(t, p, peer) })
@@ -349,23 +350,23 @@
 	t.Run("service", func(t *testing.T) { testServiceCalls(t, p) })
 
 	peer.leave()
-	p.until(t, "GET", "/control/peers", func(r response) bool { return strings.Contains(r.body, "proxy beta gone incarnation ") })
+	p.awaitResponse(t, "GET", "/control/peers", func(r response) bool { return strings.Contains(r.body, "proxy beta gone incarnation ") })
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.until(t, "GET", "/control/ready", func(r response) bool { return r == response{503, plainText, "stopping\n"} })
-	p.wait(t)
+	p.awaitResponse(t, "GET", "/control/ready", func(r response) bool { return r == response{503, plainText, "stopping\n"} })
+	p.awaitExit(t)
 }
 
 const plainText = "text/plain; charset=utf-8"
 
-func testPeersText(t *testing.T, p *proxyProcess, peer standIn) {
-	peer.sayAll()
+func testPeersText(t *testing.T, p *proxyProcess, peer fakePeer) {
+	peer.publishAllKinds()
 	want := []string{
 		"behind false, share", "rows pulse ", "rows sight ", "rows node ", "rows gone ", "rows voice ", "rows order ", "rows trial ", "rows beat ",
 		"rows wrote ", "rows absent ", "rows kind-42 ", "proxy alpha here", "proxy beta here",
 	}
-	shown := p.until(t, "GET", "/control/peers", func(r response) bool {
+	shown := p.awaitResponse(t, "GET", "/control/peers", func(r response) bool {
 		for _, text := range want {
 			if !strings.Contains(r.body, text) {
 				return false
@@ -380,16 +381,16 @@
 }
 
 // testZonesText sets overrides for zones and publishes a peer's vote, and compares the zones' status after each step.
-func testZonesText(t *testing.T, p *proxyProcess, peer standIn) {
+func testZonesText(t *testing.T, p *proxyProcess, peer fakePeer) {
 	var all strings.Builder
 	zone := func(name, prefix, part string) {
-		shown := p.until(t, "GET", "/control/zones", func(r response) bool { return strings.Contains(lineOf(r.body, prefix), part) })
+		shown := p.awaitResponse(t, "GET", "/control/zones", func(r response) bool { return strings.Contains(lineOf(r.body, prefix), part) })
 		fmt.Fprintf(&all, "=== %s\n%s", name, maskNumbers(lineOf(shown.body, prefix)))
 	}
 	order := func(target string) {
 		fmt.Fprintf(&all, "=== POST %s\n%s", target, p.call(t, "POST", target, ""))
 	}
-	first := p.until(t, "GET", "/control/zones", func(r response) bool { return strings.Contains(r.body, "zone c ") })
+	first := p.awaitResponse(t, "GET", "/control/zones", func(r response) bool { return strings.Contains(r.body, "zone c ") })
 	fmt.Fprintf(&all, "=== at the start\n%s", first.masked(maskNumbers))
 	if got := maskNumbers(p.run(t, "zones", p.management)); got != maskNumbers(first.body) {
 		t.Errorf("zones subcommand: got %q, want the text of /control/zones", got)
@@ -413,13 +414,13 @@
 	zone("a region ordered auto", "zone c ", "order 2")
 	fmt.Fprintf(&all, "=== woodproxy zones ADDRESS c hold --epoch=2\n%s", p.run(t, "zones", p.management, "c", "hold", "--epoch=2"))
 	zone("held", "zone c ", "ordered hold")
-	peer.speak(replica.KindZoneReport, "c", &zonehealth.Report{Zone: "b", Vote: zonehealth.VoteUnhealthy, UnansweredRun: 3, Unanswered: 3})
+	peer.publishRow(replica.KindZoneReport, "c", &zonehealth.Report{Zone: "b", Vote: zonehealth.VoteUnhealthy, UnansweredRun: 3, Unanswered: 3})
 	zone("unhealthy vote of a peer", "zone c ", "against: beta")
 	goldentest.Text(t, "process_zones.golden", all.String())
 }
 
-// askSteadily has a client request one key after the other until the test ends.
-func askSteadily(t *testing.T, p *proxyProcess) {
+// sendRequestsSteadily has a client request one key after the other until the test ends.
+func sendRequestsSteadily(t *testing.T, p *proxyProcess) {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.clients)
 	if err != nil {
@@ -439,9 +440,9 @@
 	}()
 }
 
-// serveZones starts fake servers for the nodes of zones a and b, sets the nodes' addresses, and returns the servers of
-// zone b.
-func serveZones(t *testing.T, nodes []listedNode) (zoneB []*emulator.Node) {
+// startZoneServers starts fake servers for the nodes of zones a and b, sets the nodes' addresses, and returns the servers
+// of zone b.
+func startZoneServers(t *testing.T, nodes []listedNode) (zoneB []*emulator.Node) {
 	t.Helper()
 	for i := range nodes {
 		n := &nodes[i]
@@ -462,35 +463,35 @@
 }
 
 // A proxy without peers evacuates a zone on its own if none of the zone's nodes responds to its requests any longer.
-func TestProcessPassesByAlone(t *testing.T) {
+func TestProcessEvacuatesZoneStandalone(t *testing.T) {
 	nodes := fleetNodes()
-	zoneB := serveZones(t, nodes)
+	zoneB := startZoneServers(t, nodes)
 	p := startProxy(t, filepath.Join(buildPrograms(t), "woodproxy"), knownList(nodes), onlyZones(t))
-	p.ready(t)
-	askSteadily(t, p)
+	p.awaitReady(t)
+	sendRequestsSteadily(t, p)
 	time.Sleep(time.Second) // during which the zone responds
 	for _, node := range zoneB {
 		node.Stop()
 	}
-	p.until(t, "GET", "/control/zones", func(r response) bool {
+	p.awaitResponse(t, "GET", "/control/zones", func(r response) bool {
 		return strings.HasSuffix(lineOf(r.body, "zone b "), " unanswered; passed by alone\n")
 	})
 	p.stop(t)
 }
 
 // A proxy under load keeps using its own zone while the verdict of its peers is to evacuate that zone.
-func TestProcessServesForOthers(t *testing.T) {
+func TestProcessKeepsOwnZoneEvacuatedByPeers(t *testing.T) {
 	nodes := fleetNodes()
-	serveZones(t, nodes)
-	p := startProxy(t, filepath.Join(buildPrograms(t), "woodproxy"), knownList(nodes), allParts(t))
-	p.ready(t)
-	askSteadily(t, p)
+	startZoneServers(t, nodes)
+	p := startProxy(t, filepath.Join(buildPrograms(t), "woodproxy"), knownList(nodes), allFeatures(t))
+	p.awaitReady(t)
+	sendRequestsSteadily(t, p)
 	peer := startPeer(t, p)
-	p.meets(t)
+	p.awaitPeer(t)
 	left := &zonehealth.Report{Zone: "b", Verdict: zonehealth.Verdict{Epoch: 5, State: zonehealth.Evacuated}}
 	for zone, words := range map[string]string{"a": "out for others", "c": "out"} {
-		p.until(t, "GET", "/control/zones", func(r response) bool {
-			peer.speak(replica.KindZoneReport, zone, left)
+		p.awaitResponse(t, "GET", "/control/zones", func(r response) bool {
+			peer.publishRow(replica.KindZoneReport, zone, left)
 			return strings.HasPrefix(lineOf(r.body, "zone "+zone+" "), "zone "+zone+" "+words+" epoch 5 step 0 flaps 0 open ")
 		})
 	}
@@ -560,7 +561,7 @@
 	if _, err := io.WriteString(conn, "POST /control/moves/plan HTTP/1.1\r\nHost: proxy\r\nContent-Length: 100\r\n\r\n{"); err != nil {
 		t.Fatal(err)
 	}
-	return p.until(t, "POST", "/control/moves/plan", func(r response) bool { return strings.Contains(r.body, "BusyError") })
+	return p.awaitResponse(t, "POST", "/control/moves/plan", func(r response) bool { return strings.Contains(r.body, "BusyError") })
 }
 
 func testServiceCalls(t *testing.T, p *proxyProcess) {
@@ -585,8 +586,8 @@
 
 // TestProcessWithoutPartsGolden compares the responses of a proxy without any optional features with a golden file.
 func TestProcessWithoutPartsGolden(t *testing.T) {
-	p := startProxy(t, filepath.Join(buildPrograms(t), "woodproxy"), knownList(fleetNodes()), noParts)
-	p.ready(t)
+	p := startProxy(t, filepath.Join(buildPrograms(t), "woodproxy"), knownList(fleetNodes()), noFeatures)
+	p.awaitReady(t)
 	var all strings.Builder
 	for _, c := range []struct{ method, target string }{
 		{"GET", "/control/ready"},
--- a/cmd/woodproxy/signals_test.go
+++ b/cmd/woodproxy/signals_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ends reports whether the process exits by itself within the given time. Otherwise it kills the process.
-func (p *proxyProcess) ends(within time.Duration) bool {
+// exitsWithin reports whether the process exits by itself within the given time. Otherwise it kills the process.
+func (p *proxyProcess) exitsWithin(within time.Duration) bool {
 	ended := make(chan struct{})
 	go func() {
 		_ = p.command.Wait() // the exit status doesn't matter here
@@ -42,8 +42,8 @@
 	const within = 5 * time.Second
 	program := filepath.Join(buildPrograms(t), "woodproxy")
 	t.Run("reload hangs", func(t *testing.T) {
-		p := startProxy(t, program, knownList(fleetNodes()), noParts)
-		p.ready(t)
+		p := startProxy(t, program, knownList(fleetNodes()), noFeatures)
+		p.awaitReady(t)
 		pipe := filepath.Join(p.command.Dir, "pipe") // opening the pipe blocks until it is opened for writing
 		if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 			t.Fatal(err)
@@ -53,21 +53,21 @@
 		}
 		p.signal(t, syscall.SIGHUP, 8)
 		p.signal(t, syscall.SIGTERM, 1)
-		if !p.ends(within) {
+		if !p.exitsWithin(within) {
 			t.Error("process still runs after SIGTERM")
 		}
 	})
 	t.Run("before it serves", func(t *testing.T) {
-		p := startProxy(t, program, knownList(fleetNodes()), noParts)
+		p := startProxy(t, program, knownList(fleetNodes()), noFeatures)
 		for range 200 { // signals are handled once the admin server responds
-			if _, err := p.try("GET", "/control/ready", ""); err == nil {
+			if _, err := p.send("GET", "/control/ready", ""); err == nil {
 				break
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 		p.signal(t, syscall.SIGUSR1, 8)
 		p.signal(t, syscall.SIGTERM, 1)
-		if !p.ends(within) {
+		if !p.exitsWithin(within) {
 			t.Error("process still runs after SIGTERM")
 		}
 	})
