--- a/cmd/woodproxy/cli_golden_test.go
+++ b/cmd/woodproxy/cli_golden_test.go
@@ -144,8 +144,8 @@
 	dir := t.TempDir()
 	parts := featureFlags(t, dir)
 	writeFile(t, dir, "good.json", cliConfig)
-	writeFile(t, dir, "watched.json", strings.Replace(cliConfig, `"seed"`, `"watch":{"tick":6},"seed"`, 1))
-	writeFile(t, dir, "told.json", strings.Replace(cliConfig, `"may-cancel"`, `"may-tell":true,"may-cancel"`, 1)) // lacks the key "me"
+	writeFile(t, dir, "shadow.json", strings.Replace(cliConfig, `"seed"`, `"watch":{"tick":6},"seed"`, 1))
+	writeFile(t, dir, "notifying.json", strings.Replace(cliConfig, `"may-cancel"`, `"may-tell":true,"may-cancel"`, 1)) // lacks the key "me"
 	writeFile(t, dir, "nameless.json", strings.Replace(cliConfig, `"name":"alpha",`, "", 1))
 	writeFile(t, dir, "garbled.json", cliConfig[:len(cliConfig)/2])
 	writeFile(t, dir, "bad.toml", "unknown_key = 1\n")
@@ -162,9 +162,9 @@
 		proxy("check", "--config=none.json"),
 		proxy("check", "--config=nameless.json"),
 		proxy("check", "--config=nameless.json", "--name=beta"),
-		proxy("check", "--config=told.json"),
+		proxy("check", "--config=notifying.json"),
 		proxy("check", "--config=good.json"),
-		proxy("check", "--config=watched.json"),
+		proxy("check", "--config=shadow.json"),
 		proxy("check", "--config=good.json", "--listen=here"),
 		proxy("check", "--config=good.json", "--discovery=here"),
 		proxy("check", "--config=good.json", "--management=127.0.0.1:1"),
--- a/cmd/woodproxy/process_golden_test.go
+++ b/cmd/woodproxy/process_golden_test.go
@@ -387,7 +387,7 @@
 		shown := p.awaitResponse(t, "GET", "/control/zones", func(r response) bool { return strings.Contains(lineOf(r.body, prefix), part) })
 		fmt.Fprintf(&all, "=== %s\n%s", name, maskNumbers(lineOf(shown.body, prefix)))
 	}
-	order := func(target string) {
+	setOverride := func(target string) {
 		fmt.Fprintf(&all, "=== POST %s\n%s", target, p.call(t, "POST", target, ""))
 	}
 	first := p.awaitResponse(t, "GET", "/control/zones", func(r response) bool { return strings.Contains(r.body, "zone c ") })
@@ -395,21 +395,21 @@
 	if got := maskNumbers(p.run(t, "zones", p.management)); got != maskNumbers(first.body) {
 		t.Errorf("zones subcommand: got %q, want the text of /control/zones", got)
 	}
-	order("/control/zones/b/out?epoch=0")
+	setOverride("/control/zones/b/out?epoch=0")
 	zone("ordered out", "zone b ", "ordered out")
-	order("/control/zones/b/out?epoch=7")
-	order("/control/zones/q/out")
-	order("/control/zones/b/sideways")
-	order("/control/zones/b/auto?epoch=1")
+	setOverride("/control/zones/b/out?epoch=7")
+	setOverride("/control/zones/q/out")
+	setOverride("/control/zones/b/sideways")
+	setOverride("/control/zones/b/auto?epoch=1")
 	zone("ordered auto", "zone b ", "ordered auto")
-	order("/control/zones/east/out")
+	setOverride("/control/zones/east/out")
 	zone("a region ordered out", "zone c ", "ordered out")
-	order("/control/zones/a/out")
-	order("/control/zones/a/out?force=leave+no+zone")
+	setOverride("/control/zones/a/out")
+	setOverride("/control/zones/a/out?force=leave+no+zone")
 	zone("evacuated by force", "zone a ", "ordered out")
-	order("/control/zones/a/in")
+	setOverride("/control/zones/a/in")
 	zone("ordered in", "zone a ", "ordered in")
-	order("/control/zones/east/auto")
+	setOverride("/control/zones/east/auto")
 	zone("a region ordered auto", "zone b ", "order 4")
 	zone("a region ordered auto", "zone c ", "order 2")
 	fmt.Fprintf(&all, "=== woodproxy zones ADDRESS c hold --epoch=2\n%s", p.run(t, "zones", p.management, "c", "hold", "--epoch=2"))
@@ -584,8 +584,8 @@
 
 var readyText = regexp.MustCompile(`^ready(; catching up with peers|; (alone|catching up|warming), since [^\n]+)?\n$`)
 
-// TestProcessWithoutPartsGolden compares the responses of a proxy without any optional features with a golden file.
-func TestProcessWithoutPartsGolden(t *testing.T) {
+// TestProcessWithoutFeaturesGolden compares the responses of a proxy without any optional features with a golden file.
+func TestProcessWithoutFeaturesGolden(t *testing.T) {
 	p := startProxy(t, filepath.Join(buildPrograms(t), "woodproxy"), knownList(fleetNodes()), noFeatures)
 	p.awaitReady(t)
 	var all strings.Builder
