--- a/internal/simnet/fleet.go
+++ b/internal/simnet/fleet.go
@@ -14,26 +14,27 @@
 	// startTime is the simulated time at which a fleet begins.
 	startTime = 1000 * replica.Second
 
-	stepsPerTick   = 2 // between two calls of Tick
-	stepsPerGossip = 2 // between two rounds of gossip
+	stepsPerTick   = 2 // steps between two calls of Tick
+	stepsPerGossip = 2 // steps between two gossip rounds
 
-	// networkStream separates the random numbers of the network from those that tests draw under the same seed.
+	// networkStream is the PCG stream of the network's random numbers. Tests that use the same seed use other streams.
 	networkStream = 9
 )
 
 // Config describes a fleet and its network.
 type Config struct {
-	Proxies       int
-	StatedProxies int                                       // fleet size that proxies are configured with; 0: Proxies
-	Loss          float64                                   // probability that a datagram is lost
-	Duplication   float64                                   // probability that a datagram is delivered twice
-	MaxDelaySteps int                                       // of a datagram, in steps; at least 1
-	QuotaFloor    float64                                   // fraction of an even quota that a proxy keeps while it is not seen
-	HoldTime      replica.Time                              // after which the quota of a departed proxy is taken over
-	NoHeartbeats  bool                                      // proxies do not announce that they are alive
-	ClockSkew     replica.Time                              // the most by which a proxy's clock is ahead of simulated time
-	ZoneOf        func(proxy int) string                    // name of the zone of a proxy; nil: no zones
-	Demand        func(proxy int, now replica.Time) float64 // requests a second; nil: not reported
+	Proxies             int
+	ConfiguredFleetSize int          // fleet size that proxies are configured with; 0 means Proxies
+	Loss                float64      // probability that a datagram is lost
+	Duplication         float64      // probability that a datagram is delivered twice
+	MaxDelaySteps       int          // maximum delay of a packet in steps; values below 1 count as 1
+	QuotaFloor          float64      // fraction of an even share that is never taken over and is usable before confirmation
+	HoldTime            replica.Time // delay before the quota of a departed proxy is taken over
+	NoHeartbeats        bool         // proxies send no heartbeats
+	ClockSkew           replica.Time // maximum lead of a proxy's clock over simulated time
+
+	ZoneOf func(proxy int) string                    // returns the zone name of a proxy; nil: no zones
+	Demand func(proxy int, now replica.Time) float64 // demand in requests per second; nil: not reported
 }
 
 // Fleet is a fleet of proxies on a simulated network.
@@ -41,11 +42,12 @@
 	Config
 	Now     replica.Time
 	Proxies []*Proxy
-	LinkCut func(from, to int) bool      // whether the network drops what one proxy sends to another; nil: nothing
-	Log     func(proxy int, text string) // receives the log messages of proxies; nil: they are dropped
+	// LinkCut reports whether the network drops packets from one proxy to another; nil: no link is cut.
+	LinkCut func(from, to int) bool
+	Log     func(proxy int, text string) // receives the log messages of proxies; nil: they are discarded
 
-	rowChanged func(proxy int, row replica.Row) // called with each row that a proxy learns; nil: nobody
-	inFlight   map[int][]packet                 // by the step of their delivery
+	rowChanged func(proxy int, row replica.Row) // called with each row that a proxy receives; may be nil
+	inFlight   map[int][]packet                 // by delivery step
 	step       int
 	random     *rand.Rand
 }
@@ -58,8 +60,8 @@
 		inFlight: map[int][]packet{},
 		random:   rand.New(rand.NewPCG(seed, networkStream)),
 	}
-	if f.StatedProxies == 0 {
-		f.StatedProxies = config.Proxies
+	if f.ConfiguredFleetSize == 0 {
+		f.ConfiguredFleetSize = config.Proxies
 	}
 	f.MaxDelaySteps = max(f.MaxDelaySteps, 1)
 	for i := range config.Proxies {
@@ -70,8 +72,8 @@
 	return f
 }
 
-// Start starts the process of a proxy, without any state: one that was stopped returns as its next incarnation. Its
-// peers learn of it from its first heartbeat.
+// Start starts the process of a proxy without any state. A proxy that was stopped returns with its next incarnation,
+// which its peers detect by its first heartbeat.
 func (f *Fleet) Start(proxy int) {
 	p := f.Proxies[proxy]
 	zone := ""
@@ -83,7 +85,7 @@
 		Name:           ProxyName(proxy),
 		Zone:           zone,
 		Incarnation:    p.incarnation,
-		FleetSize:      f.StatedProxies,
+		FleetSize:      f.ConfiguredFleetSize,
 		Address:        fmt.Sprint(proxy),
 		TakeoverDelay:  f.HoldTime,
 		QuotaFloor:     f.QuotaFloor,
@@ -98,13 +100,13 @@
 // Stop ends the process of a proxy without notice to its peers.
 func (f *Fleet) Stop(proxy int) { f.Proxies[proxy].Running = false }
 
-// Do calls a function with a proxy and its clock, and carries out the decisions that it returns.
+// Do calls a function with a proxy and the time of its clock, and carries out the decisions that the function returns.
 func (f *Fleet) Do(proxy int, call func(p *Proxy, now replica.Time) []replica.Decision) {
 	p := f.Proxies[proxy]
 	f.apply(p, call(p, p.clock(f.Now)))
 }
 
-// Run lets simulated time pass. After each step it calls check, where that is not nil.
+// Run advances simulated time by a duration. After each step it calls check if check is not nil.
 func (f *Fleet) Run(duration replica.Time, check func()) {
 	for end := f.Now + duration; f.Now < end; {
 		f.step++
@@ -119,7 +121,8 @@
 	}
 }
 
-// runStep runs one step of a proxy: what arrived while it was paused, its timers and its gossip.
+// runStep runs one step of a proxy: it handles the packets that were queued while the proxy was paused, then runs the
+// timers and the gossip.
 func (f *Fleet) runStep(p *Proxy) {
 	if p.Paused {
 		p.wasPaused = true
@@ -127,7 +130,7 @@
 	if !p.Running || p.Paused {
 		return
 	}
-	if p.wasPaused { // a process that resumes sees its expired timers before its sockets
+	if p.wasPaused { // a resumed process handles its expired timers before its sockets
 		p.wasPaused = false
 		f.tick(p)
 	}
@@ -149,7 +152,8 @@
 
 func (f *Fleet) tick(p *Proxy) { f.apply(p, p.Store.Tick(p.clock(f.Now))) }
 
-// QuotaSum is the sum of the quotas of all proxies that run, as a fraction of the limits of the fleet.
+// QuotaSum returns the sum of the quotas of all running proxies that are not paused, as a fraction of the limits of the
+// fleet.
 func (f *Fleet) QuotaSum() float64 {
 	sum := 0.0
 	for _, p := range f.Proxies {
--- a/internal/simnet/fleet_test.go
+++ b/internal/simnet/fleet_test.go
@@ -12,7 +12,7 @@
 
 const second = replica.Second
 
-// fleetTest is a fleet whose quotas are checked in each step.
+// fleetTest is a fleet whose sum of quotas is checked after each step.
 type fleetTest struct {
 	*Fleet
 	t *testing.T
@@ -39,7 +39,7 @@
 	return replica.Row{Key: key, Epoch: index, Rank: rank, Body: []byte(fmt.Sprint(key, index, rank))}
 }
 
-// listEndpoints has a proxy learn of endpoints from discovery.
+// listEndpoints applies endpoint rows from discovery at a proxy.
 func (f *fleetTest) listEndpoints(proxy int, rows ...replica.Row) {
 	for _, row := range rows {
 		f.Do(proxy, func(p *Proxy, now replica.Time) []replica.Decision {
@@ -48,12 +48,12 @@
 	}
 }
 
-// run lets time pass, and checks after each step that the quotas of all proxies are one in sum, or less.
+// run advances simulated time and checks after each step that the sum of the quotas of all proxies is at most 1.
 func (f *fleetTest) run(duration replica.Time) {
 	f.t.Helper()
 	f.Run(duration, func() {
 		if sum := f.QuotaSum(); sum > 1+1e-9 && !f.t.Failed() {
-			f.t.Errorf("at %.2f s the sum of quotas is %.4f", float64(f.Now)/float64(second), sum)
+			f.t.Errorf("at %.2f s: got a sum of quotas of %.4f, want at most 1", float64(f.Now)/float64(second), sum)
 			for _, p := range f.Proxies {
 				f.t.Logf("n%d running %v quota %.4f %v", p.Number, p.Running, p.Quota, p.Store.Members())
 			}
@@ -61,7 +61,7 @@
 	})
 }
 
-// runScaled is run for longer in a large fleet, whose heartbeats are as much rarer.
+// runScaled is run with a duration that grows with the fleet size, because heartbeats are less frequent in a large fleet.
 func (f *fleetTest) runScaled(duration replica.Time) {
 	f.t.Helper()
 	f.run(duration * replica.Time(100+len(f.Proxies)) / 100)
@@ -79,15 +79,15 @@
 			first = i
 		}
 		if !f.SameEndpoints(first, i) || p.Store.CatchingUp() {
-			f.t.Errorf("%s: n%d has other endpoints than n%d, catching up %v", when, i, first, p.Store.CatchingUp())
+			f.t.Errorf("%s: n%d has other endpoints than n%d or is catching up: %v", when, i, first, p.Store.CatchingUp())
 			return
 		}
 	}
 }
 
-// Both halves of a partitioned fleet change the same row; one proxy is paused for half a minute; seven in ten stop and
-// start again; three in ten datagrams are lost all the time. Quotas keep their sum in every step, and in the end all
-// proxies have the same endpoints.
+// Both sides of a partitioned fleet change the same row, one proxy is paused for half a minute, 70% of the proxies are
+// restarted, and 30% of the datagrams are lost throughout. The sum of quotas stays at most 1 in every step, and in the end
+// all proxies have the same endpoints.
 func TestFleetUnderFaults(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -102,7 +102,7 @@
 			f.runScaled(12 * second)
 			for i, p := range f.Proxies {
 				if p.Quota < 0.999/float64(proxies) {
-					t.Fatalf("n%d has a quota of %.4f in a fleet without faults", i, p.Quota)
+					t.Fatalf("n%d in a fleet without faults: got a quota of %.4f, want an even share", i, p.Quota)
 				}
 			}
 			f.listEndpoints(0, endpoint("c1", 5, replica.EndpointActive), endpoint("c2", 5, replica.EndpointActive))
@@ -114,7 +114,7 @@
 	}
 }
 
-// testPartition cuts the fleet in two, with different changes on the two sides, and heals it.
+// testPartition partitions the fleet, applies different changes on the two sides and heals the partition.
 func (f *fleetTest) testPartition() {
 	const paused = 9
 	proxies := len(f.Proxies)
@@ -129,7 +129,7 @@
 		f.t.Error("both sides of the partition have the same endpoints: no link was cut")
 	}
 	if got := f.Proxies[3].EndpointRows["c1"].Rank; got != replica.EndpointDraining {
-		f.t.Errorf("c1 has rank %d on the side where it is draining", got)
+		f.t.Errorf("c1 on the side where it is draining: got rank %d", got)
 	}
 	f.LinkCut = nil
 	f.runScaled(10 * second)
@@ -138,12 +138,12 @@
 	f.assertConverged("healed")
 	for i, p := range f.Proxies {
 		if r := p.EndpointRows["c1"]; i != 0 && (r.Rank != replica.EndpointDraining || r.Epoch != 6) {
-			f.t.Errorf("n%d: a drain announced on one side does not bind: %+v", i, r)
+			f.t.Errorf("n%d: got %+v for c1, want the drain that was announced on one side", i, r)
 		}
 	}
 }
 
-// testMassRestart stops seven proxies in ten, and starts them again.
+// testMassRestart stops 70% of the proxies and starts them again.
 func (f *fleetTest) testMassRestart() {
 	proxies := len(f.Proxies)
 	survivors := proxies * 3 / 10
@@ -153,23 +153,23 @@
 	f.runScaled(20 * second)
 	for i := range survivors {
 		if got := f.Proxies[i].Quota; got < 0.8/float64(survivors) {
-			f.t.Errorf("n%d has a quota of %.4f with seven in ten stopped", i, got)
+			f.t.Errorf("n%d with 70%% of the proxies stopped: got a quota of %.4f, want it to take over their quota", i, got)
 		}
 	}
 	for i := survivors; i < proxies; i++ {
 		f.Start(i)
 	}
 	f.runScaled(20 * second)
-	f.assertConverged("all started again")
+	f.assertConverged("all restarted")
 	for i, p := range f.Proxies {
 		if p.Quota < 0.999/float64(proxies) {
-			f.t.Errorf("n%d has a quota of %.4f after all were started again", i, p.Quota)
+			f.t.Errorf("n%d after all proxies were restarted: got a quota of %.4f, want an even share", i, p.Quota)
 		}
 	}
 }
 
-// Random faults overlap: cuts in one direction and both, stops, starts, pauses. The sum of quotas is kept throughout, and
-// the fleet converges once the network is whole.
+// Random faults overlap: links cut in one direction or both, stops, starts, pauses. The sum of quotas stays at most 1
+// throughout, and the fleet converges once the faults have ended.
 func TestQuotaSumUnderRandomFaults(t *testing.T) {
 	seeds, _ := strconv.ParseUint(os.Getenv("WOODPROXY_SEEDS"), 10, 64) // more of them outside CI
 	for seed := range max(seeds, 12) {
@@ -177,7 +177,7 @@
 			t.Parallel()
 			random := rand.New(rand.NewPCG(seed, 77))
 			config := testConfig(3 + random.IntN(8))
-			if seed%2 == 1 { // demand differs between proxies, and shifts: quota is leased out
+			if seed%2 == 1 { // demand differs between proxies and shifts, so that quota is leased
 				config.Demand = func(proxy int, now replica.Time) float64 {
 					return float64((proxy*7+int(now/(4*second)))%11) * 3
 				}
@@ -191,8 +191,8 @@
 			f.heal()
 			f.run(25 * second)
 			f.assertConverged("in the end")
-			if sum := f.QuotaSum(); config.Demand == nil && sum < 0.999 || sum < 0.7 { // leased quota is idle until it is used
-				t.Errorf("the sum of quotas is %.4f in the end", sum)
+			if sum := f.QuotaSum(); config.Demand == nil && sum < 0.999 || sum < 0.7 { // leased quota may be unused
+				t.Errorf("got a sum of quotas of %.4f in the end, want almost 1, or at least 0.7 with leases", sum)
 			}
 		})
 	}
@@ -238,8 +238,8 @@
 	}
 }
 
-// Proxies with the most demand get most of the limits of the fleet, and the others keep half of an even share at least;
-// when demand shifts, so do quotas.
+// Proxies with the highest demand get the largest part of the fleet's limits. The others keep at least half of an even
+// share. When demand shifts, quotas follow.
 func TestQuotaFollowsDemand(t *testing.T) {
 	config := testConfig(10)
 	shifted := replica.Time(0)
@@ -253,30 +253,30 @@
 	quotaOfFirstTwo := func() float64 { return f.Proxies[0].Quota + f.Proxies[1].Quota }
 	f.run(25 * second)
 	if got := quotaOfFirstTwo(); got < 0.45 {
-		t.Errorf("two proxies with five sixths of the demand have a quota of %.2f", got)
+		t.Errorf("two proxies with five sixths of the demand: got a quota of %.2f, want at least 0.45", got)
 	}
 	if got := f.Proxies[7].Quota; got < 0.05-1e-9 {
-		t.Errorf("a proxy with little demand has a quota of %.3f", got)
+		t.Errorf("a proxy with low demand: got a quota of %.3f, want at least 0.05", got)
 	}
 	shifted = f.Now
 	f.run(40 * second)
 	if got := quotaOfFirstTwo(); got > 0.2+1e-9 {
-		t.Errorf("after demand has shifted, they have a quota of %.2f", got)
+		t.Errorf("two proxies after demand has shifted: got a quota of %.2f, want at most 0.2", got)
 	}
 }
 
-// The check of quotas fires: a fleet whose proxies are configured with too small a fleet size uses more than its limits.
+// The quota check detects a fleet that uses more than its limits because its proxies are configured with too small a size.
 func TestQuotaCheckFires(t *testing.T) {
 	config := testConfig(6)
-	config.StatedProxies = 1
+	config.ConfiguredFleetSize = 1
 	f, exceeded := NewFleet(config, 1), false
 	f.Run(second/2, func() { exceeded = exceeded || f.QuotaSum() > 1+1e-9 })
 	if !exceeded {
-		t.Error("six proxies that each believe to be the only one keep to one quota")
+		t.Error("got a sum of quotas of at most 1 for six proxies that each have a fleet size of 1, want more")
 	}
 }
 
-// One change reaches all of a large fleet, in a number of rounds that grows as its logarithm.
+// One change reaches all proxies of a large fleet, in a number of gossip rounds that grows with the logarithm of its size.
 func TestPropagationInLargeFleet(t *testing.T) {
 	for _, proxies := range []int{100, 1000} {
 		t.Run(fmt.Sprint(proxies, " proxies"), func(t *testing.T) {
@@ -290,17 +290,18 @@
 			}, 3)
 			delays := f.MeasurePropagation(3 * second)
 			if len(delays) < proxies-1 || delays[proxies*99/100-1] > 15*second/10 {
-				t.Errorf("%d have it, the last after %d", len(delays), delays[len(delays)-1])
+				t.Errorf("%d proxies received the change, the last after %d units of 0.1 ms", len(delays), delays[len(delays)-1])
 			}
 		})
 	}
 }
 
-// A large fleet, outside CI: it is cut in two while both sides learn of one endpoint, and heals; a tenth stops meanwhile.
+// A large fleet, outside CI, is partitioned, both sides receive changes of one endpoint, and a tenth of the proxies stops.
+// The fleet converges after the partition has healed.
 func TestLargeFleet(t *testing.T) {
 	proxies, err := strconv.Atoi(os.Getenv("WOODPROXY_LARGE"))
 	if err != nil {
-		t.Skip("WOODPROXY_LARGE states the number of proxies")
+		t.Skip("WOODPROXY_LARGE is not set to the number of proxies")
 	}
 	f := newFleetTest(t, testConfig(proxies), 1)
 	f.listEndpoints(0, endpoint("c1", 5, replica.EndpointActive))
@@ -318,5 +319,5 @@
 	f.LinkCut = nil
 	f.runScaled(3 * second)
 	f.assertConverged("healed")
-	t.Logf("%d proxies, the sum of quotas is %.3f in the end", proxies, f.QuotaSum())
+	t.Logf("%d proxies: sum of quotas %.3f in the end", proxies, f.QuotaSum())
 }
--- a/internal/simnet/gossip.go
+++ b/internal/simnet/gossip.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	gossipFanOut = 4  // peers that a round of gossip is sent to
-	maxRows      = 20 // in one datagram
+	gossipFanOut       = 4  // maximum number of peers per gossip round
+	maxRowsPerDatagram = 20 // maximum number of rows in one datagram
 
-	// repeatFactor times the number of decimal digits of the fleet's size is how often a row is sent.
+	// repeatFactor is the number of times a proxy sends a row, per decimal digit of the fleet size.
 	repeatFactor = 3
 )
 
-// broadcast is a row that a proxy passes on to random peers.
+// broadcast is a row that a proxy sends to random peers.
 type broadcast struct {
 	row       replica.Row
-	remaining int // how often it is still to be sent
+	remaining int // number of times that the row is still to be sent
 }
 
-// queueBroadcast queues a row, in place of an older version of the same row.
+// queueBroadcast queues a row and removes a queued older version of the same row.
 func (f *Fleet) queueBroadcast(p *Proxy, row replica.Row) {
 	p.broadcasts = slices.DeleteFunc(p.broadcasts, func(b broadcast) bool {
 		return b.row.Kind == row.Kind && b.row.Key == row.Key && b.row.Writer == row.Writer
@@ -36,7 +36,8 @@
 	return repeatFactor * digits
 }
 
-// gossip runs one round of a proxy: the rows that were sent least often go out first.
+// gossip runs one gossip round of a proxy: it sends queued rows to random peers. Rows that have been sent least often go
+// first.
 func (f *Fleet) gossip(p *Proxy) {
 	if len(p.broadcasts) == 0 || len(f.Proxies) < 2 {
 		return
@@ -56,10 +57,11 @@
 	}
 }
 
-// nextBroadcasts returns the rows of the next datagram, and drops those that were sent often enough.
+// nextBroadcasts returns the rows of the next datagram. Rows that have now been sent the required number of times are
+// removed from the queue.
 func (p *Proxy) nextBroadcasts() []replica.Row {
 	slices.SortStableFunc(p.broadcasts, func(a, b broadcast) int { return b.remaining - a.remaining })
-	rows := make([]replica.Row, min(len(p.broadcasts), maxRows))
+	rows := make([]replica.Row, min(len(p.broadcasts), maxRowsPerDatagram))
 	for i := range rows {
 		rows[i] = p.broadcasts[i].row
 		p.broadcasts[i].remaining--
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -2,30 +2,32 @@
 
 import "woodproxy/replica"
 
-// maxReceived bounds the packets that are queued for a paused process; more are dropped, as by its socket buffers.
+// maxReceived is the maximum number of packets queued for a paused process. Further packets are dropped, as with full
+// socket buffers.
 const maxReceived = 1000
 
-// transport is how a message is sent.
+// transport is the transport protocol of a message.
 type transport int
 
 const (
 	datagram transport = iota // may be lost or duplicated
-	stream                    // only lost if the link is cut in one direction or the other
+	stream                    // lost only if the link is cut in either direction
 )
 
-// message delivers itself to the proxy that receives it, and returns what that decides.
+// message passes its content to the store of the receiving proxy and returns the store's decisions.
 type message func(receiver *Proxy) []replica.Decision
 
-// packet is a message on its way.
+// packet is a message in flight.
 type packet struct {
 	from, to int
 	receive  message
 }
 
-// cut reports whether the network drops what one proxy sends to another.
+// cut reports whether the network drops packets from one proxy to another.
 func (f *Fleet) cut(from, to int) bool { return f.LinkCut != nil && f.LinkCut(from, to) }
 
-// send puts a message on the network. It arrives in the next step at the earliest.
+// send puts a message on the network. It arrives in the next step at the earliest, unless the network loses it. A message
+// to a proxy that does not run is dropped.
 func (f *Fleet) send(from, to int, via transport, m message) {
 	if f.cut(from, to) || via == stream && f.cut(to, from) || !f.Proxies[to].Running {
 		return
@@ -44,7 +46,8 @@
 	}
 }
 
-// deliver hands over the packets that arrive in this step. A link that was cut meanwhile drops them.
+// deliver delivers the packets that arrive in this step. A packet is dropped if its link has been cut or its receiver has
+// been stopped since it was sent.
 func (f *Fleet) deliver() {
 	arrived := f.inFlight[f.step]
 	delete(f.inFlight, f.step)
--- a/internal/simnet/propagation.go
+++ b/internal/simnet/propagation.go
@@ -2,12 +2,13 @@
 
 import "woodproxy/replica"
 
-// MeasurePropagation has one proxy learn of an endpoint from discovery, and lets time pass. It returns how long each
-// other proxy took to learn of it, in ascending order, without those that never did.
+// MeasurePropagation applies an endpoint change from discovery at the first proxy and runs the fleet for a duration. It
+// returns the delays after which the other proxies received the change, in ascending order. Proxies that did not receive
+// it are omitted.
 func (f *Fleet) MeasurePropagation(duration replica.Time) []replica.Time {
 	const (
 		key   = "c1"
-		index = 5 // of the endpoint list
+		index = 5 // index of the endpoint list
 	)
 	f.Do(0, func(p *Proxy, now replica.Time) []replica.Decision {
 		return p.Store.ApplyEndpointList(now, false, index, []replica.Row{{Key: key, Rank: replica.EndpointDraining}})
--- a/internal/simnet/proxy.go
+++ b/internal/simnet/proxy.go
@@ -8,33 +8,34 @@
 	"woodproxy/replica"
 )
 
-// proxyNamePrefix stands before the number of a proxy in its name.
+// proxyNamePrefix precedes the number of a proxy in its name.
 const proxyNamePrefix = "n"
 
 // Proxy is one proxy of a fleet.
 type Proxy struct {
-	Store        *replica.Store // a new one with each start
+	Store        *replica.Store // replaced at each start
 	Number       int
-	Running      bool                   // the process is there
-	Paused       bool                   // the process is there and does nothing; what it receives is queued
-	Quota        float64                // fraction of the limits of the fleet that the proxy may use
-	Bytes        int                    // roughly, that it has sent
-	EndpointRows map[string]replica.Row // the endpoint rows that it has learned from others, by key
+	Running      bool                   // the process runs or is paused
+	Paused       bool                   // the process is suspended; packets that it receives are queued
+	Quota        float64                // fraction of the fleet's limits that the proxy may use
+	Bytes        int                    // approximate number of bytes sent
+	EndpointRows map[string]replica.Row // endpoint rows received from peers, by key
 
 	wasPaused   bool
 	incarnation int64
 	clockSkew   replica.Time
 	broadcasts  []broadcast
-	received    []packet // while it was paused
+	received    []packet // packets received while the proxy was paused
 }
 
-// clock returns what the proxy's own clock shows.
+// clock returns the time of the proxy's own clock at a simulated time.
 func (p *Proxy) clock(now replica.Time) replica.Time { return now + p.clockSkew }
 
 // ProxyName returns the name of a proxy by its number.
 func ProxyName(number int) string { return proxyNamePrefix + strconv.Itoa(number) }
 
-// proxyNumber is the inverse of ProxyName. Names come from the simulation itself, so that another one is a bug.
+// proxyNumber is the inverse of ProxyName. It panics on an invalid name, which is a bug, because all names come from the
+// simulation itself.
 func proxyNumber(name string) int {
 	number, err := strconv.Atoi(strings.TrimPrefix(name, proxyNamePrefix))
 	if err != nil {
