--- a/internal/simnet/decisions.go
+++ b/internal/simnet/decisions.go
@@ -10,20 +10,20 @@
 // Approximate sizes on the wire, in bytes.
 const (
 	digestBytes     = 600
-	rowVersionBytes = 16 // version of one row
+	rowVersionBytes = 16
 	rowBytes        = 100
 	rowIDBytes      = 8
 )
 
-// apply carries out the decisions of a proxy, in their order.
+// apply carries out the decisions of a proxy in order.
 func (f *Fleet) apply(p *Proxy, decisions []replica.Decision) {
-	// The slice is reused by the next call to the store, which a decision may lead to.
+	// The store reuses the slice in its next call, and carrying out a decision may call the store.
 	for _, d := range slices.Clone(decisions) {
 		switch d.Action {
 		case replica.ActionGossip:
 			f.queueBroadcast(p, d.Rows[0])
 		case replica.ActionRowChanged:
-			f.learnRow(p, d.Rows[0])
+			f.recordRow(p, d.Rows[0])
 		case replica.ActionSetQuotaShare:
 			p.Quota = d.Share
 		case replica.ActionLog:
@@ -36,8 +36,8 @@
 	}
 }
 
-// learnRow notes a row that a proxy has learned from another.
-func (f *Fleet) learnRow(p *Proxy, row replica.Row) {
+// recordRow records a row that a proxy has received from a peer, and passes it to rowChanged.
+func (f *Fleet) recordRow(p *Proxy, row replica.Row) {
 	if row.Kind == replica.KindEndpoint {
 		p.EndpointRows[row.Key] = row
 	}
@@ -46,22 +46,23 @@
 	}
 }
 
-// applyToPeer carries out a decision about a peer: a message to it, or the check whether its process listens.
+// applyToPeer carries out a decision about a peer: it sends a message to the peer or probes the peer's process.
 func (f *Fleet) applyToPeer(p *Proxy, to int, d replica.Decision) {
 	if d.Action == replica.ActionProbe {
 		f.probe(p, to, d)
 		return
 	}
-	m, via, size := encode(d, ProxyName(p.Number))
+	call, via, size := messageFor(d, ProxyName(p.Number))
 	p.Bytes += size
-	f.send(p.Number, to, via, func(receiver *Proxy) []replica.Decision { return m(receiver.Store, receiver.clock(f.Now)) })
+	f.send(p.Number, to, via, func(receiver *Proxy) []replica.Decision { return call(receiver.Store, receiver.clock(f.Now)) })
 }
 
-// storeCall hands a message to the store of the proxy that receives it.
+// storeCall passes a message to the store of the receiving proxy and returns the store's decisions.
 type storeCall func(store *replica.Store, now replica.Time) []replica.Decision
 
-// encode returns the message of a decision, how it is sent and its size in bytes.
-func encode(d replica.Decision, from string) (call storeCall, via transport, size int) {
+// messageFor returns the message of a decision as a call to the receiver's store, its transport and its approximate size in
+// bytes. It panics if the decision sends no message.
+func messageFor(d replica.Decision, from string) (call storeCall, via transport, size int) {
 	type store = *replica.Store
 	switch d.Action {
 	case replica.ActionSendDigest:
@@ -87,7 +88,8 @@
 	panic(fmt.Sprintf("simnet: unknown decision %d", d.Action))
 }
 
-// probe connects to a peer: the connection is refused if its process has ended, and a link that is cut tells nothing.
+// probe connects to a peer and reports a refused connection to the store. The connection is refused if the peer's process
+// has ended and the link is not cut in either direction.
 func (f *Fleet) probe(p *Proxy, to int, d replica.Decision) {
 	if !f.Proxies[to].Running && !f.cut(p.Number, to) && !f.cut(to, p.Number) {
 		f.apply(p, p.Store.ConnectionRefused(p.clock(f.Now), d.Peer, d.Incarnation))
