--- a/internal/simnet/attempts.go
+++ b/internal/simnet/attempts.go
@@ -5,25 +5,25 @@
 	"woodproxy/zonehealth"
 )
 
-// normalLatency is that of a node without a fault.
+// normalLatency is the response latency of a node without a fault.
 const normalLatency = replica.Second / 300
 
 // Node is a simulated cache node.
 type Node struct {
-	Zone   int
-	Answer AnswerFunc // nil: it answers normally
+	Zone    int
+	Respond ResponseFunc // nil: NormalResponse
 }
 
-// AnswerFunc says how a node responds to an attempt of a proxy: after how long, and with which outcome.
-type AnswerFunc func(proxy int) (latency replica.Time, outcome zonehealth.Outcome)
+// ResponseFunc returns the latency and the outcome of an attempt that a proxy sends to a node.
+type ResponseFunc func(proxy int) (latency replica.Time, outcome zonehealth.Outcome)
 
-// NormalAnswer is the AnswerFunc of a node without a fault.
-func NormalAnswer(int) (latency replica.Time, outcome zonehealth.Outcome) {
+// NormalResponse is the ResponseFunc of a node without a fault.
+func NormalResponse(int) (latency replica.Time, outcome zonehealth.Outcome) {
 	return normalLatency, zonehealth.AnsweredInTime
 }
 
-// NoAnswer is the AnswerFunc of a node whose machine has vanished: attempts time out.
-func NoAnswer(int) (latency replica.Time, outcome zonehealth.Outcome) {
+// NoResponse is the ResponseFunc of a node whose machine has failed: attempts time out.
+func NoResponse(int) (latency replica.Time, outcome zonehealth.Outcome) {
 	return replica.Second / 2, zonehealth.Unanswered
 }
 
@@ -32,20 +32,21 @@
 	proxy, node int
 	sent        replica.Time
 	outcome     zonehealth.Outcome
-	sender      *zonehealth.Controller // of the process that sent it, which may have been replaced meanwhile
+	sender      *zonehealth.Controller // of the sending process; a restarted proxy has another one
 }
 
-// sendAttempt sends one request of a proxy to the node that owns its key, or to the next one that is not excluded.
+// sendAttempt sends one request with a random key from a proxy to the node that owns the key. If the key is in the
+// excluded fraction of that node, the next node is tried, and so on.
 func (z *ZonedFleet) sendAttempt(proxy int) {
 	node, key := z.random.IntN(len(z.Nodes)), z.random.Float64()
 	for n := 0; n < len(z.Nodes) && key < z.Excluded[proxy][node]; n++ {
 		node = (node + 1) % len(z.Nodes)
 	}
-	answer := z.Nodes[node].Answer
-	if answer == nil {
-		answer = NormalAnswer
+	respond := z.Nodes[node].Respond
+	if respond == nil {
+		respond = NormalResponse
 	}
-	latency, outcome := answer(proxy)
+	latency, outcome := respond(proxy)
 	if outcome == zonehealth.Unanswered || outcome == zonehealth.ConnectFailed {
 		z.Unanswered++
 	}
@@ -55,7 +56,8 @@
 	z.attempts[end] = append(z.attempts[end], attempt{proxy, node, z.Now, outcome, sender})
 }
 
-// finishAttempts reports the attempts that end in this step to the processes that sent them, where these still run.
+// finishAttempts reports the attempts that end in this step to the processes that sent them. Attempts of processes that
+// have been stopped or restarted since are dropped.
 func (z *ZonedFleet) finishAttempts() {
 	finished := z.attempts[z.step]
 	delete(z.attempts, z.step)
--- a/internal/simnet/zonedfleet.go
+++ b/internal/simnet/zonedfleet.go
@@ -12,31 +12,30 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ZonedFleet is a fleet whose proxies are spread over zones and send requests to simulated cache nodes, from which a
-// zonehealth instance of each proxy decides which zones to evacuate.
+// ZonedFleet is a fleet whose proxies are spread over zones and send requests to simulated cache nodes. The zonehealth
+// instance of each proxy decides from the outcomes of these requests which zones to evacuate.
 type ZonedFleet struct {
 	*Fleet
 	ZoneConfig
 	Nodes      []*Node
-	ZoneHealth []*zonehealth.Controller // by proxy; a new one with each start
-	Excluded   []map[int]float64        // by proxy and node: fraction of the node's keys that the proxy does not send to it
-	Unanswered int                      // attempts that timed out or could not connect
-	// ForgeReport changes the zone reports of proxies that lie, by proxy.
+	ZoneHealth []*zonehealth.Controller // by proxy; replaced at each start
+	Excluded   []map[int]float64        // by proxy and node: fraction of the node's keys that the proxy sends to other nodes
+	Unanswered int                      // number of attempts that timed out or failed to connect
+	// ForgeReport holds by proxy a function that falsifies the zone reports of the proxy before they are sent.
 	ForgeReport map[int]func(report *zonehealth.Report)
-	ZoneLog     func(proxy int, text string) // receives log messages on zones; nil: they are dropped
+	ZoneLog     func(proxy int, text string) // receives log messages about zones; nil: they are discarded
 
 	attempts map[int][]attempt // in flight, by the step in which they end
 }
 
 // ZoneConfig describes the zones of a fleet and its traffic.
 type ZoneConfig struct {
-	Zones        []string // names; proxies and nodes are dealt to them in turn
+	Zones        []string // zone names; proxies and nodes are assigned to zones in round-robin order
 	NodesPerZone int
-	RequestRate  float64 // requests a second, of each proxy
+	RequestRate  float64 // requests per second of each proxy
 }
 
-// NewZonedFleet returns a fleet of running proxies, each of which knows all nodes. ZoneOf of the configuration is
-// replaced.
+// NewZonedFleet returns a fleet of running proxies that are configured with all nodes. It replaces config.ZoneOf.
 func NewZonedFleet(config Config, zones ZoneConfig, seed uint64) *ZonedFleet {
 	z := &ZonedFleet{
 		ZoneConfig:  zones,
@@ -60,10 +59,10 @@
 // zoneOf returns the zone of a proxy or node by its number.
 func (z *ZonedFleet) zoneOf(number int) int { return number % len(z.Zones) }
 
-// clock is the simulated time in the type of zonehealth, which counts in the same unit.
+// clock returns the simulated time as a [zonehealth.Time], which has the same unit as [replica.Time].
 func (z *ZonedFleet) clock() zonehealth.Time { return zonehealth.Time(z.Now) }
 
-// startZoneHealth gives a proxy the zone health state of a process that has just started.
+// startZoneHealth gives a proxy the zone health state of a newly started process.
 func (z *ZonedFleet) startZoneHealth(proxy int) {
 	z.ZoneHealth[proxy] = zonehealth.New(z.clock(), zonehealth.Settings{
 		ProxyName:                ProxyName(proxy),
@@ -87,22 +86,22 @@
 	z.applyZoneDecisions(proxy, z.ZoneHealth[proxy].SetNodes(z.clock(), nodes))
 }
 
-// receiveReport hands a zone report that gossip has brought to the proxy's zone health state.
+// receiveReport passes a zone report received by gossip to the proxy's zone health state.
 func (z *ZonedFleet) receiveReport(proxy int, row replica.Row) {
 	if row.Kind != replica.KindZoneReport {
 		return
 	}
 	var report zonehealth.Report
 	if rowcodec.Decode(row.Body, &report) != nil {
-		return // as the proxy does, which ignores what it cannot read
+		return // the proxy, too, ignores reports that it can't decode
 	}
 	age, ttl := zonehealth.Time(row.Age), zonehealth.Time(row.TTL)
 	z.applyZoneDecisions(proxy, z.ZoneHealth[proxy].PeerReport(z.clock(), row.Writer, row.Key, report, age, ttl))
 }
 
-// applyZoneDecisions carries out the decisions of a proxy's zone health state, in their order.
+// applyZoneDecisions carries out the decisions of a proxy's zone health state in order.
 func (z *ZonedFleet) applyZoneDecisions(proxy int, decisions []zonehealth.Decision) {
-	// The slice is reused by the next call, which a decision may lead to.
+	// The zone health state reuses the slice in its next call, and carrying out a decision may lead to such a call.
 	for _, d := range slices.Clone(decisions) {
 		switch d.Action {
 		case zonehealth.ExcludeNode:
@@ -120,18 +119,19 @@
 	}
 }
 
-// SendReport has a proxy send a report about a zone, which expires after the TTL.
+// SendReport makes a proxy send a report about a zone. The report expires after the TTL.
 func (z *ZonedFleet) SendReport(proxy int, zone string, report zonehealth.Report, ttl zonehealth.Time) {
 	body, err := msgpack.Marshal(&report)
 	if err != nil {
-		panic(fmt.Sprintf("simnet: encoding a zone report: %v", err)) // a struct of plain fields always encodes
+		panic(fmt.Sprintf("simnet: encoding a zone report: %v", err)) // can't fail, because the struct has only plain fields
 	}
 	z.Do(proxy, func(p *Proxy, now replica.Time) []replica.Decision {
 		return p.Store.WriteOwn(now, replica.KindZoneReport, zone, replica.Time(ttl), body)
 	})
 }
 
-// RunTraffic lets simulated time pass while proxies send requests. After each step it calls check, where that is not nil.
+// RunTraffic advances simulated time by a duration while proxies send requests. After each step it calls check if check
+// is not nil.
 func (z *ZonedFleet) RunTraffic(duration replica.Time, check func()) {
 	z.Run(duration, func() {
 		z.finishAttempts()
@@ -152,7 +152,7 @@
 	})
 }
 
-// tickZoneHealth tells a proxy's zone health state which peers there are, and runs its timers.
+// tickZoneHealth passes the current peers to a proxy's zone health state and runs its timers.
 func (z *ZonedFleet) tickZoneHealth(proxy int) {
 	store, health := z.Proxies[proxy].Store, z.ZoneHealth[proxy]
 	var peers []zonehealth.Proxy
@@ -168,11 +168,11 @@
 	z.applyZoneDecisions(proxy, health.Tick(z.clock()))
 }
 
-// FailZone has the machines of a zone, proxies and nodes, vanish.
+// FailZone stops all proxies and nodes of a zone without notice, as if their machines had failed.
 func (z *ZonedFleet) FailZone(zone int) {
 	for _, node := range z.Nodes {
 		if node.Zone == zone {
-			node.Answer = NoAnswer
+			node.Respond = NoResponse
 		}
 	}
 	for i := range z.Proxies {
@@ -182,11 +182,11 @@
 	}
 }
 
-// RestoreZone brings the machines of a zone back, with proxies that know nothing.
+// RestoreZone restores the nodes of a zone and restarts its proxies without any state.
 func (z *ZonedFleet) RestoreZone(zone int) {
 	for _, node := range z.Nodes {
 		if node.Zone == zone {
-			node.Answer = nil
+			node.Respond = nil
 		}
 	}
 	for i := range z.Proxies {
@@ -197,17 +197,17 @@
 	}
 }
 
-// ServedFraction is the fraction of a zone's keys that a proxy serves there.
+// ServedFraction returns the fraction of a zone's keys that a proxy sends to nodes in that zone.
 func (z *ZonedFleet) ServedFraction(proxy, zone int) float64 {
 	return z.zoneStatus(proxy, zone).ServedFraction
 }
 
-// Verdict is the verdict on a zone that a proxy acts on.
+// Verdict returns the verdict on a zone that is in effect at a proxy.
 func (z *ZonedFleet) Verdict(proxy, zone int) zonehealth.Verdict {
 	return z.zoneStatus(proxy, zone).Verdict
 }
 
-// zoneStatus is the status of a zone at a proxy; a zone that it does not know is served.
+// zoneStatus returns the status of a zone at a proxy. A zone without a status counts as served completely.
 func (z *ZonedFleet) zoneStatus(proxy, zone int) zonehealth.ZoneStatus {
 	for _, status := range z.ZoneHealth[proxy].Statuses(z.clock()) {
 		if status.Name == z.Zones[zone] {
--- a/internal/simnet/zonedfleet_test.go
+++ b/internal/simnet/zonedfleet_test.go
@@ -11,17 +11,17 @@
 	"woodproxy/zonehealth"
 )
 
-// maxDisagreement is how long two proxies that reach each other may act on different verdicts.
+// maxDisagreement is the maximum time for which proxies that reach each other may have different verdicts in effect.
 const maxDisagreement = replica.Second
 
-// zoneTest is a fleet of three zones whose verdicts are compared in each step.
+// zoneTest is a fleet of three zones. After each step it compares the verdicts of the proxies.
 type zoneTest struct {
 	*simnet.ZonedFleet
 	t                   *testing.T
-	lastAgreed          []replica.Time // by zone; on both sides
+	lastAgreed          []replica.Time // by zone: last time at which the verdicts agreed on each side
 	longestDisagreement replica.Time
-	side                func(proxy int) int // proxies of one side reach each other
-	evacuations         map[string]int      // by zone: how often a proxy had evacuated it, or part of it
+	side                func(proxy int) int // partition side of a proxy; proxies on one side reach each other
+	evacuations         map[string]int      // by zone: number of checks in which a proxy had evacuated it at least partly
 }
 
 func newZoneTest(t *testing.T, seed uint64) *zoneTest {
@@ -52,8 +52,8 @@
 	return z
 }
 
-// check notes, after each step, since when verdicts differ between proxies that reach each other, and which zones are
-// evacuated.
+// check records, after each step, for how long the verdicts of proxies that reach each other have differed, and which zones
+// are evacuated.
 func (z *zoneTest) check() {
 	for zone := range z.lastAgreed {
 		firstOfSide, agreed := map[int]zonehealth.Verdict{}, true
@@ -78,9 +78,9 @@
 	}
 }
 
-// runUntil lets time pass until a condition has held for each running proxy once, and returns how long that took for the
-// first and the last. It fails the test after the timeout.
-func (z *zoneTest) runUntil(timeout replica.Time, what string, holds func(proxy int) bool) (first, last replica.Time) {
+// runUntil advances simulated time until a condition has held at least once for each running proxy. It returns the time
+// until this was so for the first and for the last proxy. It fails the test after the timeout.
+func (z *zoneTest) runUntil(timeout replica.Time, event string, holds func(proxy int) bool) (first, last replica.Time) {
 	z.t.Helper()
 	start, held := z.Now, map[int]bool{}
 	for z.Now-start < timeout {
@@ -99,14 +99,14 @@
 			return first, z.Now - start
 		}
 	}
-	z.t.Errorf("%s: %d of %d after %v", what, len(held), len(z.Proxies), timeout)
+	z.t.Errorf("%s: %d of %d proxies after %v", event, len(held), len(z.Proxies), timeout)
 	return first, timeout
 }
 
 func (z *zoneTest) assertVerdictsAgreed() {
 	z.t.Helper()
 	if z.longestDisagreement > maxDisagreement {
-		z.t.Errorf("proxies that reach each other differed for %d ms", z.longestDisagreement/10)
+		z.t.Errorf("proxies that reach each other had different verdicts for %d ms", z.longestDisagreement/10)
 	}
 }
 
@@ -124,7 +124,7 @@
 	}
 }
 
-// fleetSize is the number of proxies, more of them outside CI.
+// fleetSize returns the number of proxies. WOODPROXY_FLEET sets a larger number outside CI.
 func fleetSize() int {
 	if n, err := strconv.Atoi(os.Getenv("WOODPROXY_FLEET")); err == nil {
 		return n
@@ -132,8 +132,8 @@
 	return 24
 }
 
-// A zone whose machines vanish is evacuated by all proxies within a second and a half, the last not long after the first.
-// Few attempts are sent to it until it is back; then its traffic returns by a recovery ramp.
+// All proxies evacuate a zone whose machines fail within 1.5 s, the last one at most 0.5 s after the first. Few attempts
+// are sent to the zone until it is back. Then its traffic returns by a recovery ramp.
 func TestZoneFailure(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		z := newZoneTest(t, seed)
@@ -146,7 +146,7 @@
 		z.Unanswered = 0
 		z.RunTraffic(6*replica.Second, z.check)
 		if limit := len(z.Proxies) / 2; z.Unanswered > limit {
-			t.Errorf("%d attempts without an answer in six seconds from an evacuated zone, of %d proxies", z.Unanswered, len(z.Proxies))
+			t.Errorf("got %d unanswered attempts at an evacuated zone in 6 s, of %d proxies", z.Unanswered, len(z.Proxies))
 		}
 		z.RestoreZone(2)
 		z.runUntil(30*replica.Second, "recovered", func(i int) bool { return z.ServedFraction(i, 2) == 1 })
@@ -154,8 +154,8 @@
 	})
 }
 
-// A zone is cut off with its proxies and nodes: the other proxies evacuate it. Those within stop sending to the other
-// zones on their own, without a verdict, and adopt the newer epoch when the network heals.
+// A zone is cut off with its proxies and nodes. The other proxies evacuate it. The proxies in the zone stop sending to the
+// other zones by standalone decisions, without a verdict, and adopt the newer epoch when the partition heals.
 func TestZonePartition(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		z := newZoneTest(t, seed)
@@ -163,11 +163,11 @@
 		z.LinkCut = func(from, to int) bool { return side(from) != side(to) }
 		for _, n := range z.Nodes {
 			inside := n.Zone / 2
-			n.Answer = func(i int) (replica.Time, zonehealth.Outcome) {
+			n.Respond = func(i int) (replica.Time, zonehealth.Outcome) {
 				if side(i) != inside {
-					return replica.Second / 2, zonehealth.ConnectFailed // connections are lost, and new ones fail
+					return replica.Second / 2, zonehealth.ConnectFailed // open connections are lost and new ones fail
 				}
-				return simnet.NormalAnswer(i)
+				return simnet.NormalResponse(i)
 			}
 		}
 		z.side = side
@@ -177,16 +177,17 @@
 			}
 			return z.ServedFraction(i, 0) < 0.1 && z.ServedFraction(i, 1) < 0.1
 		})
-		z.RunTraffic(6*replica.Second, z.check) // by then the other proxies count as unreachable
+		z.RunTraffic(6*replica.Second, z.check) // long enough for the proxies of the other side to count as unreachable
 		for i := range z.Proxies {
 			if side(i) == 1 && (z.Verdict(i, 0).Epoch+z.Verdict(i, 1).Epoch > 0 || z.ServedFraction(i, 2) != 1) {
-				t.Errorf("n%d, cut off, has verdicts on the others: %+v, %+v, serves %v of its own zone",
+				t.Errorf("n%d, cut off: got verdicts %+v and %+v on the other zones, want none; serves %v of its own zone, want 1",
 					i, z.Verdict(i, 0), z.Verdict(i, 1), z.ServedFraction(i, 2))
 			}
 		}
 		z.LinkCut = nil
-		z.setAnswers(nil, func(int, *simnet.Node) bool { return true })
-		z.side = func(i int) int { return i * side(i) } // after healing, verdicts reach those within one after the other
+		z.setResponses(nil, func(int, *simnet.Node) bool { return true })
+		// After healing, verdicts reach the proxies in the zone one after the other, so each of these counts as a side.
+		z.side = func(i int) int { return i * side(i) }
 		z.RunTraffic(3*replica.Second, z.check)
 		z.side = func(int) int { return 0 }
 		z.RunTraffic(simnet.StepDuration, nil)
@@ -200,66 +201,66 @@
 	})
 }
 
-// The nodes of a zone are reached by the proxies of that zone only, while all proxies reach each other: the others evacuate
-// it, and those within go on.
+// The nodes of a zone are reachable only from the proxies of that zone, while all proxies reach each other. The proxies of
+// the other zones evacuate it, and the proxies of that zone continue to use it.
 func TestZoneUnreachableFromOthers(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		z := newZoneTest(t, seed)
 		for _, n := range z.Nodes {
 			if n.Zone == 2 {
-				n.Answer = func(i int) (replica.Time, zonehealth.Outcome) {
+				n.Respond = func(i int) (replica.Time, zonehealth.Outcome) {
 					if i%3 != 2 {
 						return replica.Second / 2, zonehealth.Unanswered
 					}
-					return simnet.NormalAnswer(i)
+					return simnet.NormalResponse(i)
 				}
 			}
 		}
 		z.runUntil(2*replica.Second, "evacuated", func(i int) bool { return i%3 == 2 || z.ServedFraction(i, 2) == 0 })
 		z.RunTraffic(4*replica.Second, z.check)
 		for i := range z.Proxies {
-			if open := z.ServedFraction(i, 2); i%3 == 2 && open != 1 || i%3 != 2 && open > 0.1 {
-				t.Errorf("n%d: %v of its keys are served there", i, open)
+			if served := z.ServedFraction(i, 2); i%3 == 2 && served != 1 || i%3 != 2 && served > 0.1 {
+				t.Errorf("n%d: got %v of the zone's keys served there, want 1 in that zone and at most 0.1 in the others", i, served)
 			}
 		}
 		z.assertVerdictsAgreed()
 	})
 }
 
-// minorFaults are no loss of a whole zone.
+// minorFaults are faults that must not lead to an evacuation.
 var minorFaults = []struct {
 	name   string
 	inject func(z *zoneTest)
 }{
-	{"calm", func(*zoneTest) {}},
-	{"short", func(z *zoneTest) {
+	{"none", func(*zoneTest) {}},
+	{"short outage of a zone", func(z *zoneTest) {
 		z.FailZone(1)
 		z.RunTraffic(3*replica.Second/10, z.check)
-		z.setAnswers(nil, func(int, *simnet.Node) bool { return true })
+		z.setResponses(nil, func(int, *simnet.Node) bool { return true })
 	}},
-	{"third", func(z *zoneTest) {
-		z.setAnswers(simnet.NoAnswer, func(i int, _ *simnet.Node) bool { return i%3 == 0 && i < 3 || i == 5 })
+	{"third of the nodes", func(z *zoneTest) {
+		z.setResponses(simnet.NoResponse, func(i int, _ *simnet.Node) bool { return i%3 == 0 && i < 3 || i == 5 })
 	}},
-	{"grey", func(z *zoneTest) {
+	{"one attempt in five in a zone", func(z *zoneTest) {
 		for _, n := range z.Nodes {
 			if n.Zone == 1 {
-				n.Answer = noAnswerToOneInFive()
+				n.Respond = noResponseToOneInFive()
 			}
 		}
 	}},
-	{"half of two", func(z *zoneTest) {
-		z.setAnswers(simnet.NoAnswer, func(i int, n *simnet.Node) bool { return n.Zone < 2 && i < 6 })
+	{"half of two zones", func(z *zoneTest) {
+		z.setResponses(simnet.NoResponse, func(i int, n *simnet.Node) bool { return n.Zone < 2 && i < 6 })
 	}},
-	{"jammed", func(z *zoneTest) {
-		z.setAnswers(simnet.NoAnswer, func(int, *simnet.Node) bool { return true })
+	{"all nodes unresponsive", func(z *zoneTest) {
+		z.setResponses(simnet.NoResponse, func(int, *simnet.Node) bool { return true })
 	}},
-	{"late", func(z *zoneTest) {
-		z.setAnswers(lateAnswer, func(int, *simnet.Node) bool { return true })
+	{"all nodes late", func(z *zoneTest) {
+		z.setResponses(lateResponse, func(int, *simnet.Node) bool { return true })
 	}},
-	{"late zone", func(z *zoneTest) {
-		z.setAnswers(lateAnswer, func(_ int, n *simnet.Node) bool { return n.Zone == 1 })
+	{"one zone late", func(z *zoneTest) {
+		z.setResponses(lateResponse, func(_ int, n *simnet.Node) bool { return n.Zone == 1 })
 	}},
-	{"liar", func(z *zoneTest) {
+	{"forged reports", func(z *zoneTest) {
 		z.ForgeReport[0] = func(v *zonehealth.Report) {
 			v.Vote, v.UnansweredRun, v.UnhealthyNodes = zonehealth.VoteUnhealthy, 99, []uint32{1, 2, 3, 4, 5, 6}
 			v.Verdict = zonehealth.Verdict{Epoch: 1 << 40, State: zonehealth.Evacuated}
@@ -276,32 +277,32 @@
 	}},
 }
 
-// setAnswers sets how the selected nodes answer.
-func (z *zoneTest) setAnswers(answer simnet.AnswerFunc, selected func(i int, node *simnet.Node) bool) {
+// setResponses sets the ResponseFunc of the selected nodes.
+func (z *zoneTest) setResponses(respond simnet.ResponseFunc, selected func(i int, node *simnet.Node) bool) {
 	for i, node := range z.Nodes {
 		if selected(i, node) {
-			node.Answer = answer
+			node.Respond = respond
 		}
 	}
 }
 
-func lateAnswer(int) (replica.Time, zonehealth.Outcome) {
+func lateResponse(int) (replica.Time, zonehealth.Outcome) {
 	return replica.Second * 2 / 5, zonehealth.AnsweredLate
 }
 
-func noAnswerToOneInFive() simnet.AnswerFunc {
+func noResponseToOneInFive() simnet.ResponseFunc {
 	attempts := 0
 	return func(proxy int) (replica.Time, zonehealth.Outcome) {
 		if attempts++; attempts%20 < 4 {
-			return simnet.NoAnswer(proxy)
+			return simnet.NoResponse(proxy)
 		}
-		return simnet.NormalAnswer(proxy)
+		return simnet.NormalResponse(proxy)
 	}
 }
 
-// No zone is evacuated for a fault that is no loss of a zone: none at all, a zone lost for 300 ms, a third of the nodes
-// silent, one attempt in five failing or all late, every node silent, half of two zones; and a proxy that forges its
-// attempts, its verdicts, or both.
+// No zone is evacuated for a fault that is not the failure of one zone: no fault, an outage of a zone for 300 ms, no
+// response from a third of the nodes, to one attempt in five, from any node or from half of two zones, late responses,
+// and a proxy that forges the votes and verdicts of its zone reports.
 func TestMinorFaultsEvacuateNoZone(t *testing.T) {
 	for _, fault := range minorFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -310,7 +311,7 @@
 				fault.inject(z)
 				z.RunTraffic(8*replica.Second, z.check)
 				if len(z.evacuations) > 0 {
-					t.Errorf("evacuated: %v", z.evacuations)
+					t.Errorf("got evacuations %v, want none", z.evacuations)
 				}
 			})
 		})
