--- a/rebalance/errors.go
+++ b/rebalance/errors.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// maxListedShortfalls is the number of nodes that an error's text names; the rest is counted.
+// maxListedShortfalls is the maximum number of shortfalls listed in an error's text. Further ones are only counted.
 const maxListedShortfalls = 8
 
 // InventoryError reports an invalid inventory.
 type InventoryError struct {
-	Path   string `json:"Where"` // path of the entry, such as "nodes[1]"
-	Reason string `json:"What"`  // why it is invalid
+	Path   string `json:"Where"` // path of the invalid entry, such as "nodes[1]"
+	Reason string `json:"What"`  // why the entry is invalid
 }
 
-// TypeName returns the stable name of the error's type in HTTP answers.
+// TypeName returns the stable name of the error type in HTTP responses.
 func (e *InventoryError) TypeName() string { return "moves.InventoryError" }
 
 func (e *InventoryError) Error() string {
 	return fmt.Sprintf("%s: %s; mend the inventory, nothing was planned", e.Path, e.Reason)
 }
 
-// Shortfall is the capacity in bytes that a node is short of.
+// Shortfall is the additional capacity in bytes that a node needs.
 type Shortfall struct {
 	Node  string `json:"node"`
 	Bytes int64  `json:"bytes"`
 }
 
-// formatShortfalls lists the first shortfalls and counts the rest.
+// formatShortfalls returns a text that lists the first shortfalls and counts the others.
 func formatShortfalls(shortfalls []Shortfall) string {
 	var parts []string
 	for i, shortfall := range shortfalls {
@@ -40,14 +40,14 @@
 	return strings.Join(parts, ", ")
 }
 
-// CapacityError reports that no placement fits the capacity of the nodes.
+// CapacityError reports that no placement within the capacities of the nodes was found.
 type CapacityError struct {
-	Shortfalls    []Shortfall `json:"Lacks"`  // by node: of required targets, else of the nodes that the shards could go to
-	NeededBytes   int64       `json:"Needed"` // bytes of all shards
-	CapacityBytes int64       `json:"Room"`   // capacity in bytes of all nodes that are not draining
+	Shortfalls    []Shortfall `json:"Lacks"`  // by node: of required targets, otherwise of the nodes that the shards may go to
+	NeededBytes   int64       `json:"Needed"` // total size of all shards in bytes
+	CapacityBytes int64       `json:"Room"`   // total capacity in bytes of the nodes that are not draining
 }
 
-// TypeName returns the stable name of the error's type in HTTP answers.
+// TypeName returns the stable name of the error type in HTTP responses.
 func (e *CapacityError) TypeName() string { return "moves.RoomError" }
 
 func (e *CapacityError) Error() string {
@@ -55,15 +55,15 @@
 		"give these so much more, or add a node", e.NeededBytes, e.CapacityBytes, formatShortfalls(e.Shortfalls))
 }
 
-// ShardPlacementError reports a shard that no node can store, or that is pinned to a node that it has to leave.
+// ShardPlacementError reports a shard that no node can store, or that is pinned to a node where it may not be.
 type ShardPlacementError struct {
 	ShardID         int   `json:"Shard"`   // ID of the shard
 	Bytes           int64 `json:"Bytes"`   // size of the shard
-	LargestCapacity int64 `json:"Largest"` // largest capacity in bytes of the nodes that it may be on; 0 if it is pinned
-	Pinned          bool  `json:"Pinned"`
+	LargestCapacity int64 `json:"Largest"` // largest capacity in bytes among the nodes that the shard may be on; 0 if Pinned
+	Pinned          bool  `json:"Pinned"`  // the shard is pinned to a node where it may not stay
 }
 
-// TypeName returns the stable name of the error's type in HTTP answers.
+// TypeName returns the stable name of the error type in HTTP responses.
 func (e *ShardPlacementError) TypeName() string { return "moves.ShardError" }
 
 func (e *ShardPlacementError) Error() string {
@@ -76,11 +76,11 @@
 
 // BalanceError reports that loads can't be balanced within the slack.
 type BalanceError struct {
-	Slack         float64 `json:"Stated"` // the slack of the settings
-	FeasibleSlack float64 `json:"Needed"` // a slack for which a placement was found; 0: none was found for any slack tried
+	Slack         float64 `json:"Stated"` // configured slack
+	FeasibleSlack float64 `json:"Needed"` // larger slack for which a placement was found; 0 if none of those tried has one
 }
 
-// TypeName returns the stable name of the error's type in HTTP answers.
+// TypeName returns the stable name of the error type in HTTP responses.
 func (e *BalanceError) TypeName() string { return "moves.BalanceError" }
 
 func (e *BalanceError) Error() string {
@@ -91,13 +91,13 @@
 		"take off pins or zones, or give nodes other weights", e.Slack)
 }
 
-// ScheduleError reports that a placement exists, but no order of migrations that leads to it.
+// ScheduleError reports that a placement was found, but no order of migrations that leads to it.
 type ScheduleError struct {
-	PendingShards int         `json:"Shards"` // number of shards that can't reach their final node
-	Shortfalls    []Shortfall `json:"Lacks"`  // by node, the smallest first: what would let one more shard in
+	PendingShards int         `json:"Shards"` // number of shards that can't reach their final nodes
+	Shortfalls    []Shortfall `json:"Lacks"`  // by node, the smallest first: capacity needed to receive one more shard
 }
 
-// TypeName returns the stable name of the error's type in HTTP answers.
+// TypeName returns the stable name of the error type in HTTP responses.
 func (e *ScheduleError) TypeName() string { return "moves.StuckError" }
 
 func (e *ScheduleError) Error() string {
--- a/rebalance/inventory.go
+++ b/rebalance/inventory.go
@@ -4,11 +4,11 @@
 
 // Node is a cache node.
 type Node struct {
-	Name     string  `json:"name"` // unique, not empty
+	Name     string  `json:"name"` // unique and not empty
 	Zone     string  `json:"zone,omitempty"`
 	Capacity int64   `json:"room_bytes"`       // in bytes, at least 0
 	Weight   float64 `json:"weight,omitempty"` // relative share of the load, from 0 to below 1e9; 0 means 1
-	Draining bool    `json:"leaves,omitempty"` // the node has to end empty and receives no shards
+	Draining bool    `json:"leaves,omitempty"` // the node receives no shards and has to be empty in the end
 }
 
 // effectiveWeight returns the node's relative share of the load, with the default applied.
@@ -19,15 +19,15 @@
 	return n.Weight
 }
 
-// Shard is one part of the key space with its size, its location and the constraints on where it may be.
+// Shard is one part of the key space with its size, its location and its placement constraints.
 type Shard struct {
 	ID           int      `json:"id"`              // unique
 	Bytes        int64    `json:"bytes"`           // from 0 to 1<<50
-	Source       string   `json:"on,omitempty"`    // name of the node that stores it; empty: none yet
-	Target       string   `json:"want,omitempty"`  // name of the node that it has to end on; empty: any, by load
-	Pinned       bool     `json:"pin,omitempty"`   // it must not migrate
-	Zones        []string `json:"zones,omitempty"` // the zones that it may be in; empty: all
-	AntiAffinity string   `json:"apart,omitempty"` // group of which no zone may have two shards; empty: none
+	Source       string   `json:"on,omitempty"`    // name of the node that stores the shard; empty: none yet
+	Target       string   `json:"want,omitempty"`  // name of the required final node; empty: chosen by load
+	Pinned       bool     `json:"pin,omitempty"`   // the shard must not migrate
+	Zones        []string `json:"zones,omitempty"` // zones that the shard may be in; empty: all
+	AntiAffinity string   `json:"apart,omitempty"` // group whose shards must all be in different zones; empty: none
 }
 
 // allowsZone reports whether the shard may be in a zone.
--- a/rebalance/settings.go
+++ b/rebalance/settings.go
@@ -4,17 +4,17 @@
 
 // Settings are the settings of the planner.
 type Settings struct {
-	// Slack is how far a node's final load may exceed its even share, as a fraction of that share, from 0 to 1. It
-	// applies where at least one shard has no required target.
+	// Slack is the maximum excess of a node's final load over its even share, as a fraction of that share, from 0 to 1.
+	// It applies if at least one shard has no required target.
 	Slack float64
-	// MaxMigrationsPerNode is the number of concurrent migrations that a node may take part in, from 1 to 64.
+	// MaxMigrationsPerNode is the maximum number of concurrent migrations that a node takes part in, from 1 to 64.
 	MaxMigrationsPerNode int
-	// MaxMigrations is the number of concurrent migrations in the fleet, from 1 to 1024.
+	// MaxMigrations is the maximum number of concurrent migrations in the fleet, from 1 to 1024.
 	MaxMigrations int
-	// MaxSearchedPlacements is the number of placements up to which all are searched for the optimal plan. Inventories with more
-	// placements are planned by heuristics. 0 disables the search.
+	// MaxSearchedPlacements is the maximum number of possible placements of an inventory that is planned by the search for
+	// the optimal plan. Inventories with more placements are planned by heuristics. 0 disables the search.
 	MaxSearchedPlacements int
-	// Yield is called regularly while a plan is made, so that it can yield the processor. It may be nil.
+	// Yield, if not nil, is called regularly during planning so that it can yield the processor to other goroutines.
 	Yield func()
 }
 
