--- a/rebalance/capacity.go
+++ b/rebalance/capacity.go
@@ -1,9 +1,9 @@
 package rebalance
 
-// minTotalWeight keeps the even share finite where the nodes' weights add up to 0.
+// minTotalWeight is the minimum divisor of the even share. It keeps the share finite if the nodes' weights add up to 0.
 const minTotalWeight = 1e-12
 
-// totalBytes returns the size of all shards.
+// totalBytes returns the sum of the sizes of all shards.
 func (p *problem) totalBytes() int64 {
 	total := int64(0)
 	for i := range p.shards {
@@ -12,7 +12,7 @@
 	return total
 }
 
-// remainingCapacity returns the capacity in bytes of all nodes that are not draining.
+// remainingCapacity returns the sum of the capacities in bytes of all nodes that are not draining.
 func (p *problem) remainingCapacity() int64 {
 	total := int64(0)
 	for i := range p.nodes {
@@ -23,8 +23,9 @@
 	return total
 }
 
-// setMaxLoads sets what each node may store in the end: its even share with the slack, within its capacity, and at
-// least what has to end there. Where all shards have a required node, the capacity alone counts.
+// setMaxLoads sets the maximum final load of each node: its even share plus the slack, or the load of the shards that are
+// required there if that is larger, but at most its capacity. If all shards have a required node, the maximum is the
+// capacity. The maximum of a draining node is 0.
 func (p *problem) setMaxLoads() {
 	total, totalWeight := p.totalBytes(), 0.0
 	for i := range p.nodes {
@@ -45,7 +46,8 @@
 	}
 }
 
-// checkCapacity checks that required shards fit their nodes, that each shard fits some node, and that all fit together.
+// checkCapacity returns an error unless the required shards fit their nodes, each shard fits some node, and the total
+// size of the shards is within the total capacity.
 func (p *problem) checkCapacity() error {
 	shortfalls := p.requiredShortfalls()
 	if len(shortfalls) == 0 {
@@ -63,7 +65,7 @@
 	return &CapacityError{Shortfalls: shortfalls, NeededBytes: needed, CapacityBytes: capacity}
 }
 
-// requiredShortfalls returns what nodes are short of for the shards that have to end there.
+// requiredShortfalls returns the shortfalls of the nodes whose capacity is too small for the shards required there.
 func (p *problem) requiredShortfalls() []Shortfall {
 	var shortfalls []Shortfall
 	for i := range p.nodes {
@@ -75,7 +77,7 @@
 	return shortfalls
 }
 
-// evenShortfalls divides missing bytes evenly among the nodes that are not draining, rounded up.
+// evenShortfalls divides a number of missing bytes evenly among the nodes that are not draining, rounding up.
 func (p *problem) evenShortfalls(missing int64) []Shortfall {
 	var shortfalls []Shortfall
 	for i := range p.nodes {
@@ -90,7 +92,7 @@
 	return shortfalls
 }
 
-// checkShardSizes checks that each shard fits at least one node that it may be on.
+// checkShardSizes returns an error unless each shard fits at least one node that it may be on.
 func (p *problem) checkShardSizes() error {
 	for shard := range p.shards {
 		largest, fits := int64(0), false
@@ -107,11 +109,11 @@
 	return nil
 }
 
-// lowerBoundBytes returns a number of bytes that no plan goes below: the shards that can't end where they are, and of
-// the others what exceeds the maximum load of their nodes.
+// lowerBoundBytes returns a lower bound of the bytes that any plan migrates: the size of the shards that can't stay on
+// their source nodes, plus the bytes by which the shards that may stay or are required exceed the maximum loads.
 func (p *problem) lowerBoundBytes() int64 {
 	total := int64(0)
-	staying := make([]int64, len(p.nodes)) // by node: bytes that may end there without a further migration
+	staying := make([]int64, len(p.nodes)) // by node: bytes of the shards that may stay or are required there
 	for shard := range p.shards {
 		source, required, bytes := p.sourceNodes[shard], p.requiredNodes[shard], p.shards[shard].Bytes
 		if source != unplaced && p.isAllowed(shard, source) && (required == unplaced || required == source) {
--- a/rebalance/knapsack.go
+++ b/rebalance/knapsack.go
@@ -3,23 +3,23 @@
 import "math"
 
 const (
-	// capacityUnits is the resolution of the knapsack: the capacity is divided into so many units, and sizes are
-	// rounded up to them. What is retained therefore never exceeds the capacity, and falls short of the largest
-	// possible sum by at most one unit a shard.
+	// capacityUnits is the number of units into which the capacity of the knapsack is divided. Sizes are rounded up to
+	// whole units. The sum of the retained shards therefore never exceeds the capacity, and falls short of the largest
+	// possible sum by at most one unit per shard.
 	capacityUnits = 16384
-	// knapsackYieldInterval is the number of shards between two yields.
+	// knapsackYieldInterval is the number of shards between two calls of problem.yield.
 	knapsackYieldInterval = 16
 
 	wordBits     = 64
 	sumSetLength = capacityUnits/wordBits + 1
 )
 
-// sumSet is a bit set of the sums, in units of capacity, that some of the shards add up to.
+// sumSet is a bit set of the sums, in units of capacity, of all subsets of the shards considered.
 type sumSet [sumSetLength]uint64
 
 func (s *sumSet) contains(sum int) bool { return s[sum/wordBits]>>(sum%wordBits)&1 == 1 }
 
-// addShifted adds to the set each sum of another one, increased by a size.
+// addShifted adds to the set each sum of another set increased by a size.
 func (s *sumSet) addShifted(other *sumSet, size int) {
 	words, bits := size/wordBits, uint(size%wordBits)
 	for k := sumSetLength - 1; k >= words; k-- {
@@ -31,7 +31,7 @@
 	}
 }
 
-// largest returns the largest sum within the capacity. The set always contains 0.
+// largest returns the largest sum in the set that is within the capacity. The set always contains 0.
 func (s *sumSet) largest() int {
 	for sum := capacityUnits; sum > 0; sum-- {
 		if s.contains(sum) {
@@ -41,8 +41,8 @@
 	return 0
 }
 
-// splitByCapacity divides the shards of a node into those that stay, of as many bytes as the capacity allows, and those
-// that have to leave.
+// splitByCapacity divides the shards of a node into retained shards, with as many bytes as fit into the capacity, and
+// displaced shards, which have to leave the node.
 func (p *problem) splitByCapacity(shards []int, capacity int64) (retained, displaced []int) {
 	total := int64(0)
 	for _, shard := range shards {
@@ -52,14 +52,14 @@
 	case total <= capacity:
 		return shards, nil
 	case capacity <= 0:
-		return p.splitByEmptiness(shards)
+		return p.splitByZeroSize(shards)
 	default:
 		return p.splitByKnapsack(shards, capacity)
 	}
 }
 
-// splitByEmptiness retains only the shards that have no bytes.
-func (p *problem) splitByEmptiness(shards []int) (retained, displaced []int) {
+// splitByZeroSize retains only the shards of size 0.
+func (p *problem) splitByZeroSize(shards []int) (retained, displaced []int) {
 	for _, shard := range shards {
 		if p.shards[shard].Bytes == 0 {
 			retained = append(retained, shard)
@@ -70,12 +70,13 @@
 	return retained, displaced
 }
 
-// splitByKnapsack retains the shards of the largest sum within the capacity, so that the fewest bytes leave.
+// splitByKnapsack retains the shards with the largest total size that fits into the capacity, so that the fewest bytes
+// are displaced.
 func (p *problem) splitByKnapsack(shards []int, capacity int64) (retained, displaced []int) {
 	unitsOf := func(shard int) int {
 		return int(math.Ceil(float64(p.shards[shard].Bytes) / float64(capacity) * capacityUnits))
 	}
-	reachable := make([]sumSet, len(shards)+1) // by number of shards considered
+	reachable := make([]sumSet, len(shards)+1) // by number of shards considered: the sums of their subsets
 	reachable[0][0] = 1
 	for i, shard := range shards {
 		reachable[i+1] = reachable[i]
--- a/rebalance/placement.go
+++ b/rebalance/placement.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// Each eviction makes a shard wait again. The number of assignments is limited, by shards that wait at first and
-	// by a constant for small inventories, so that two shards can't evict each other forever.
+	// assignmentsPerShard and extraAssignments limit the assignments after which shards are still evicted: the limit is
+	// assignmentsPerShard for each shard that waits initially, plus extraAssignments for small inventories. Without a
+	// limit two shards could evict each other forever, because an evicted shard waits for a node again.
 	assignmentsPerShard = 4
 	extraAssignments    = 64
-	// evictionDiscount divides the cost of evicting a shard that migrates anyway.
+	// evictionDiscount is the divisor of the cost of evicting a shard that has to migrate in any case.
 	evictionDiscount = 4
-	// maxReportedShortfalls is the number of nodes that an error lists for a shard that fits none.
+	// maxReportedShortfalls is the maximum number of nodes that an error lists for a shard that fits no node.
 	maxReportedShortfalls = 8
 )
 
-// slackIncrements are added to the stated slack, one after the other, to find a feasible one.
+// slackIncrements are added to the configured slack, one at a time, to find a feasible slack.
 var slackIncrements = []float64{0.01, 0.02, 0.05, 0.1, 0.2, 0.5}
 
-// maxTriedSlack is tried last.
+// maxTriedSlack is the slack that is tried after all slackIncrements.
 const maxTriedSlack = 1.0
 
-// placement chooses the node that each shard ends on.
+// placement chooses the final node of each shard.
 type placement struct {
 	*problem
-	finalNodes []int   // by shard, or unplaced
-	finalLoads []int64 // by node
-	waiting    []int   // shards without a node
+	finalNodes []int   // by shard: node index or unplaced
+	finalLoads []int64 // by node: bytes assigned so far
+	waiting    []int   // shards without a final node
 }
 
-// placeShards returns the node that each shard ends on. Nodes retain as many bytes as they may. What is displaced is
-// placed by best fit, the largest shard first; where a shard does not fit, a smaller one is evicted for it.
+// placeShards returns the final node of each shard. Each node retains as many bytes as its maximum load allows. Displaced
+// shards are placed by best fit, the largest first. If a shard fits no node, a smaller shard is evicted for it.
 func (p *problem) placeShards() ([]int, error) {
 	pl := &placement{problem: p, finalNodes: slices.Clone(p.sourceNodes), finalLoads: make([]int64, len(p.nodes))}
 	pl.assignRequired()
@@ -57,7 +58,7 @@
 	pl.finalLoads[node] += pl.shards[shard].Bytes
 }
 
-// retain divides the free shards of each node into those that stay and those that wait for another node.
+// retain divides the free shards of each node into shards that stay and shards that wait for another node.
 func (pl *placement) retain() {
 	candidates := make([][]int, len(pl.nodes))
 	for shard := range pl.shards {
@@ -85,7 +86,7 @@
 	}
 }
 
-// assignWaiting places the shards that have no node.
+// assignWaiting assigns the shards that have no final node.
 func (pl *placement) assignWaiting() error {
 	slices.SortFunc(pl.waiting, pl.compareLargestFirst)
 	maxAssignments := assignmentsPerShard*len(pl.waiting) + extraAssignments
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// bestFit returns the node that has the least capacity left with the shard, or unplaced. The shard's source takes
-// precedence over the nodes after it, because a shard that stays migrates no bytes.
+// bestFit returns the node that has the least capacity left after the shard is added, or unplaced if the shard fits no
+// node. The shard's source takes precedence over the nodes after it, because a shard that stays migrates no bytes.
 func (pl *placement) bestFit(shard int) int {
 	best, leastLeft := unplaced, int64(math.MaxInt64)
 	for node := range pl.nodes {
@@ -123,8 +124,8 @@
 	return best
 }
 
-// evictFor makes a smaller shard wait again, so that its node has capacity for a shard. It returns that node, or
-// unplaced if no eviction helps.
+// evictFor evicts a smaller shard to free capacity for a shard, and returns the node on which the capacity was freed, or
+// unplaced if no eviction helps. The evicted shard waits for a node again.
 func (pl *placement) evictFor(shard int) int {
 	evicted := pl.cheapestEviction(shard)
 	if evicted == unplaced {
@@ -138,7 +139,8 @@
 	return node
 }
 
-// cheapestEviction returns the shard whose eviction gives a larger one enough capacity at the least cost, or unplaced.
+// cheapestEviction returns the shard whose eviction frees enough capacity for a larger shard at the lowest cost. It
+// returns unplaced if there is none.
 func (pl *placement) cheapestEviction(shard int) int {
 	best, leastCost := unplaced, int64(math.MaxInt64)
 	for candidate := range pl.shards {
@@ -157,7 +159,7 @@
 	return best
 }
 
-// isEvictable reports whether a placed shard may go, and a larger one may take its node once it has gone.
+// isEvictable reports whether candidate may be evicted and shard, which must be larger, may then take its node.
 func (pl *placement) isEvictable(candidate, shard int) bool {
 	node, freed, needed := pl.finalNodes[candidate], pl.shards[candidate].Bytes, pl.shards[shard].Bytes
 	return pl.requiredNodes[candidate] == unplaced && freed < needed &&
@@ -165,7 +167,8 @@
 		pl.maxLoads[node]-pl.finalLoads[node]+freed >= needed
 }
 
-// explainUnplaced returns why a shard fits no node: the slack is too small, or the capacity.
+// explainUnplaced returns the error for a shard that fits no node: a [*BalanceError] if a larger slack would help or no
+// node lacks capacity, otherwise a [*CapacityError].
 func (pl *placement) explainUnplaced(shard int) error {
 	if slack, ok := pl.feasibleSlack(); ok {
 		return &BalanceError{Slack: pl.settings.Slack, FeasibleSlack: slack}
@@ -188,8 +191,8 @@
 	}
 }
 
-// feasibleSlack looks for a larger slack that has a placement. It reports false if there is none among those tried, or
-// if the problem is such a trial itself.
+// feasibleSlack returns a larger slack for which a placement is found. It reports false if no slack that is tried has a
+// placement, or if the problem is itself a relaxed copy.
 func (p *problem) feasibleSlack() (slack float64, ok bool) {
 	if p.isRelaxed {
 		return 0, false
