--- a/rebalance/schedule.go
+++ b/rebalance/schedule.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// The number of steps is limited, by shards that migrate and by a constant for small inventories, so that
-	// intermediate migrations can't go on forever.
+	// stepsPerShard and extraSteps limit the steps after which intermediate migrations are still planned, so that these
+	// can't go on forever: the limit is stepsPerShard for each shard that migrates, plus extraSteps for small
+	// inventories.
 	stepsPerShard = 4
 	extraSteps    = 64
 	// insufficientPenalty is added to the cost in bytes of an intermediate migration that does not free enough
-	// capacity by itself, so that one that does is preferred.
+	// capacity by itself, so that a migration that frees enough is preferred.
 	insufficientPenalty = 1 << 40
 )
 
-// schedule orders migrations into steps. It holds the state that the steps so far have led to.
+// schedule orders migrations into steps. It holds the state after the steps planned so far.
 type schedule struct {
 	*problem
 	plan         *Plan
 	finalNodes   []int   // by shard
-	currentNodes []int   // by shard, or unplaced
+	currentNodes []int   // by shard: node index or unplaced
 	loads        []int64 // by node: bytes stored
 	pending      []int   // shards that are not on their final nodes, the largest first
 }
@@ -44,7 +45,7 @@
 }
 
 // scheduleMigrations plans the migrations that bring each shard to its final node. Each step has as many direct
-// migrations as the limits allow. Where none is possible, one shard migrates to an intermediate node to free capacity.
+// migrations as the limits allow. If none is possible, one shard migrates to an intermediate node to free capacity.
 func (p *problem) scheduleMigrations(finalNodes []int) (*Plan, error) {
 	s := newSchedule(p, finalNodes)
 	for stepsLeft := stepsPerShard*len(s.pending) + extraSteps; len(s.pending) > 0; stepsLeft-- {
@@ -61,7 +62,8 @@
 	return s.plan, nil
 }
 
-// directStep returns a step of migrations to final nodes. Migrations from nodes that others need capacity at go first.
+// directStep returns a step of migrations to final nodes. Migrations from nodes that lack capacity for their pending shards
+// have priority.
 func (s *schedule) directStep() *step {
 	next, excess := newStep(s), s.excessLoads()
 	for _, urgent := range []bool{true, false} {
@@ -80,7 +82,8 @@
 	return next
 }
 
-// excessLoads returns by node the bytes that it would be over its capacity if all that is pending came at once.
+// excessLoads returns, by node, the bytes by which the load would exceed the capacity if all pending shards arrived at
+// once.
 func (s *schedule) excessLoads() []int64 {
 	excess := make([]int64, len(s.nodes))
 	for node := range excess {
@@ -92,7 +95,7 @@
 	return excess
 }
 
-// apply appends a step to the plan and carries it out.
+// apply appends a step to the plan and updates the state.
 func (s *schedule) apply(next *step) {
 	migrations := make([]Migration, 0, len(next.transfers))
 	displaced := false
@@ -102,7 +105,7 @@
 		if t.target != s.finalNodes[t.shard] {
 			s.plan.IntermediateMigrations++
 		}
-		if t.source == s.finalNodes[t.shard] { // it has to come back
+		if t.source == s.finalNodes[t.shard] { // the shard has to migrate back
 			s.pending = append(s.pending, t.shard)
 			displaced = true
 		}
@@ -129,8 +132,8 @@
 	return migration
 }
 
-// intermediateTransfer returns the migration of the fewest bytes that frees capacity at a node that others wait for, to
-// a node that is not the shard's final one. It reports false if there is none.
+// intermediateTransfer returns the migration with the lowest cost that frees capacity at a node with pending arrivals and
+// whose target is not the shard's final node. It reports false if there is none.
 func (s *schedule) intermediateTransfer() (best transfer, ok bool) {
 	shortfalls := s.entryShortfalls()
 	candidates := s.nodesByFreeCapacity()
@@ -152,8 +155,8 @@
 	return best, ok
 }
 
-// entryShortfalls returns by node the capacity in bytes that would let its smallest pending shard in, or math.MaxInt64
-// if none is pending.
+// entryShortfalls returns, by node, the additional capacity in bytes that the node needs to receive its smallest pending
+// shard, or math.MaxInt64 if it has no pending shard.
 func (s *schedule) entryShortfalls() []int64 {
 	shortfalls := make([]int64, len(s.nodes))
 	for node := range shortfalls {
@@ -167,7 +170,7 @@
 	return shortfalls
 }
 
-// nodesByFreeCapacity returns the nodes that are not draining, the one with the most free capacity first.
+// nodesByFreeCapacity returns the nodes that are not draining in order of descending free capacity.
 func (s *schedule) nodesByFreeCapacity() []int {
 	nodes := make([]int, 0, len(s.nodes))
 	for node := range s.nodes {
@@ -181,13 +184,13 @@
 
 func (s *schedule) freeCapacity(node int) int64 { return s.nodes[node].Capacity - s.loads[node] }
 
-// intermediateCost returns the cost in bytes of a shard's migration to an intermediate node, if its source is short of
-// a number of bytes.
+// intermediateCost returns the cost in bytes of a shard's migration to an intermediate node. The shortfall is the capacity
+// in bytes that has to be freed at the shard's source.
 func (s *schedule) intermediateCost(shard int, shortfall int64) int64 {
 	bytes := s.shards[shard].Bytes
 	cost := bytes
 	if s.finalNodes[shard] == s.currentNodes[shard] {
-		cost *= 2 // it has to come back
+		cost *= 2 // the shard has to migrate back
 	}
 	if remaining := shortfall - bytes; remaining > 0 {
 		cost += insufficientPenalty + remaining
@@ -195,7 +198,7 @@
 	return cost
 }
 
-// intermediateNode returns the first of the nodes that can store a shard for a while, or unplaced.
+// intermediateNode returns the first of the nodes that can store a shard temporarily, or unplaced if there is none.
 func (s *schedule) intermediateNode(shard int, nodes []int) int {
 	for _, node := range nodes {
 		if node != s.currentNodes[shard] && node != s.finalNodes[shard] &&
@@ -206,7 +209,7 @@
 	return unplaced
 }
 
-// explainStuck returns what the pending migrations are short of.
+// explainStuck returns a [*ScheduleError] with the shortfalls that block the pending migrations.
 func (s *schedule) explainStuck() error {
 	stuck := &ScheduleError{PendingShards: len(s.pending)}
 	for node, shortfall := range s.entryShortfalls() {
--- a/rebalance/search.go
+++ b/rebalance/search.go
@@ -6,25 +6,26 @@
 	"slices"
 )
 
-// noState stands for the predecessor of the start state.
+// noState is the predecessor of the start state.
 const noState = -1
 
-// search is a uniform-cost search over placements: states are visited in the order of the bytes that lead to them, one
-// migration at a time, so that the first valid final state has the fewest bytes of all plans.
+// search is a uniform-cost search over placements. It visits states in ascending order of the bytes migrated to reach them,
+// one migration at a time. The first valid final state that it visits is therefore reached with the fewest bytes of all
+// plans.
 //
-// A state is a placement of the movable shards, encoded as a number: the digit of a shard is the index of its node plus
-// 1, and 0 where it is unplaced.
+// A state is a placement of the movable shards, encoded as a number with one digit for each of them: the index of its
+// node plus 1, or 0 if the shard is unplaced.
 type search struct {
 	*problem
-	movable     []int   // shards that are not pinned, the one of the lowest digit first
-	base        int     // number of values that a digit has
-	placeValues []int   // by movable shard: the value of its digit
-	costs       []int64 // by state: the fewest bytes found that lead to it
-	previous    []int32 // by state: the one before it on that path
+	movable     []int   // shards that are not pinned, in order of ascending digits
+	base        int     // number of values of a digit
+	placeValues []int   // by movable shard: the place value of its digit
+	costs       []int64 // by state: the fewest bytes found so far to reach it
+	previous    []int32 // by state: the preceding state on that path
 	queue       visitQueue
 
-	nodeOf []int   // by shard: its node in the state that is being visited
-	loads  []int64 // by node: its load in that state
+	nodeOf []int   // by shard: its node in the decoded state, or unplaced
+	loads  []int64 // by node: its load in the decoded state
 }
 
 // searchPlan returns the plan that migrates the fewest bytes.
@@ -33,7 +34,7 @@
 	if final, ok := s.run(); ok {
 		return s.planTo(final), nil
 	}
-	// The search does not tell why there is no plan. The heuristics do: no placement, or no order of migrations.
+	// The search can't explain why there is no plan. The heuristics can: no placement, or no order of migrations.
 	if _, err := p.heuristicPlan(); err != nil {
 		return nil, err
 	}
@@ -63,12 +64,12 @@
 	return s
 }
 
-// run returns the first valid final state. It reports false if none can be reached.
+// run returns the first valid final state that it visits. It reports false if none can be reached.
 func (s *search) run() (final int, ok bool) {
 	for s.queue.Len() > 0 {
 		next := heap.Pop(&s.queue).(visit)
 		if next.cost != s.costs[next.state] {
-			continue // a cheaper path was found meanwhile
+			continue // a cheaper path to the state was found after this visit was queued
 		}
 		s.yield()
 		s.decode(int(next.state))
@@ -80,10 +81,10 @@
 	return 0, false
 }
 
-// nodeIn returns the node of the movable shard with an index in a state, or unplaced.
+// nodeIn returns the node, or unplaced, of the movable shard with the given index in a state.
 func (s *search) nodeIn(state, index int) int { return state/s.placeValues[index]%s.base - 1 }
 
-// decode resolves a state into the nodes of shards and the loads of nodes.
+// decode sets nodeOf and loads to those of a state.
 func (s *search) decode(state int) {
 	for i, shard := range s.movable {
 		s.nodeOf[shard] = s.nodeIn(state, i)
@@ -96,7 +97,7 @@
 	}
 }
 
-// isFinal reports whether the decoded state meets all constraints on the end of a plan.
+// isFinal reports whether the decoded state meets all constraints on the final state of a plan.
 func (s *search) isFinal() bool {
 	for shard, node := range s.nodeOf {
 		required := s.requiredNodes[shard]
@@ -113,7 +114,7 @@
 	return true
 }
 
-// expand queues the states that one migration from the decoded state leads to.
+// expand queues the states that can be reached from the decoded state by one migration at a lower cost than known.
 func (s *search) expand(from visit) {
 	for i, shard := range s.movable {
 		bytes := s.shards[shard].Bytes
@@ -130,8 +131,7 @@
 	}
 }
 
-// planTo returns the plan of the path to a state. Consecutive migrations that are possible at the same time share a
-// step.
+// planTo returns the plan of the path to a state. Consecutive migrations that may run concurrently share a step.
 func (s *search) planTo(final int) *Plan {
 	finalNodes := slices.Clone(s.sourceNodes)
 	for i, shard := range s.movable {
--- a/rebalance/step.go
+++ b/rebalance/step.go
@@ -1,6 +1,7 @@
 package rebalance
 
-// transfer is the migration of a shard, by indexes. The source is unplaced if no node stores the shard yet.
+// transfer is the migration of a shard. Shard and nodes are identified by index. The source is unplaced if no node stores
+// the shard yet.
 type transfer struct {
 	shard, source, target int
 }
@@ -9,8 +10,8 @@
 type step struct {
 	schedule  *schedule
 	transfers []transfer
-	perNode   []int   // by node: transfers that it takes part in
-	incoming  []int64 // by node: bytes
+	perNode   []int   // by node: number of transfers from or to the node
+	incoming  []int64 // by node: bytes of the transfers to the node
 }
 
 func newStep(s *schedule) *step {
@@ -19,7 +20,7 @@
 
 func (st *step) isEmpty() bool { return len(st.transfers) == 0 }
 
-// isFull reports whether the fleet's limit of concurrent migrations is reached.
+// isFull reports whether the step has reached the fleet's limit of concurrent migrations.
 func (st *step) isFull() bool { return len(st.transfers) >= st.schedule.settings.MaxMigrations }
 
 // includes reports whether a shard migrates in the step.
@@ -32,8 +33,9 @@
 	return false
 }
 
-// accepts reports whether a transfer is within the limits of both its nodes. The target needs capacity for all that
-// comes, while what leaves it still counts: sources keep their copies until the step has finished.
+// accepts reports whether a transfer can be added within the limits of both its nodes. The target needs capacity for all
+// incoming shards of the step on top of its current load. Shards that leave the target in the same step still count,
+// because a source keeps its copy until the step has finished.
 func (st *step) accepts(t transfer) bool {
 	s, limit := st.schedule, st.schedule.settings.MaxMigrationsPerNode
 	if st.perNode[t.target] >= limit || t.source != unplaced && st.perNode[t.source] >= limit {
--- a/rebalance/visitqueue.go
+++ b/rebalance/visitqueue.go
@@ -1,13 +1,13 @@
 package rebalance
 
-// visit is a state that the search has reached and not yet expanded.
+// visit is a state that the search has reached but not yet expanded.
 type visit struct {
 	cost       int64 // bytes migrated so far
 	migrations int32 // number of migrations so far
 	state      int32
 }
 
-// visitQueue is a heap of visits, the cheapest first, and of these the one with the fewest migrations. It implements
+// visitQueue is a heap of visits in ascending order of cost, and of the number of migrations at equal cost. It implements
 // [container/heap.Interface].
 type visitQueue []visit
 
@@ -19,10 +19,10 @@
 
 func (q visitQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push appends a visit; only package heap calls it.
+// Push appends a visit. It is called only by package heap.
 func (q *visitQueue) Push(x any) { *q = append(*q, x.(visit)) }
 
-// Pop removes the last visit; only package heap calls it.
+// Pop removes and returns the last visit. It is called only by package heap.
 func (q *visitQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
