--- a/rebalance/capacity_test.go
+++ b/rebalance/capacity_test.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// The lower bound is the optimum of a linear program in which parts of shards may migrate.
+// The lower bound equals the optimum of a linear program in which shards may be divided.
 func TestLowerBoundEqualsLinearProgram(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for range 20 {
@@ -23,13 +23,13 @@
 			t.Fatal(err)
 		}
 		if got := float64(p.lowerBoundBytes()) / 1e6; math.Abs(got-optimum) > 1e-3*optimum+1e-4 {
-			t.Errorf("lower bound %.4f MB, by the linear program %.4f MB", got, optimum)
+			t.Errorf("got a lower bound of %.4f MB, want %.4f MB as by the linear program", got, optimum)
 		}
 	}
 }
 
-// solveLinearProgram returns the fewest megabytes that migrate if shards can be divided. Its variables are the part of
-// each shard on each node that is not draining, then the load that each of these nodes has left.
+// solveLinearProgram returns the fewest megabytes that migrate if shards may be divided. The variables are the part of each
+// shard on each node that is not draining, followed by the slack variable of each of these nodes.
 func solveLinearProgram(p *problem) (float64, error) {
 	shards, nodes := len(p.shards), 0
 	for nodes < len(p.nodes) && !p.nodes[nodes].Draining { // draining nodes come last
--- a/rebalance/errors_test.go
+++ b/rebalance/errors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// isPlannerError reports whether an error is of one of the planner's types.
+// isPlannerError reports whether an error is of one of the error types of NewPlan.
 func isPlannerError(err error) bool {
 	var (
 		capacity  *CapacityError
@@ -18,7 +18,7 @@
 		errors.As(err, &stuck) || errors.As(err, &inventory)
 }
 
-// matches returns a check for an error of a type that meets a condition.
+// matches returns a function that reports whether an error is of type E and meets a condition.
 func matches[E error](condition func(E) bool) func(error) bool {
 	return func(err error) bool {
 		var typed E
@@ -26,12 +26,12 @@
 	}
 }
 
-// isInvalidEntry returns a check for an InventoryError about an entry.
+// isInvalidEntry returns a function that reports whether an error is an InventoryError about the entry at a path.
 func isInvalidEntry(path string) func(error) bool {
 	return matches(func(e *InventoryError) bool { return e.Path == path })
 }
 
-// What can't be planned gives a typed error that says what is missing, and where.
+// An inventory that can't be planned gives a typed error that reports the cause and the place.
 func TestInfeasibleInventoryReturnsTypedError(t *testing.T) {
 	twoNodes := []Node{{Name: "a", Capacity: 10, Zone: "x"}, {Name: "b", Capacity: 10, Zone: "y"}}
 	for _, c := range []struct {
@@ -66,15 +66,15 @@
 			[]Shard{{ID: 1, Bytes: 9, Source: "a"}, {ID: 2, Bytes: 3, Source: "b"}},
 			matches(func(e *BalanceError) bool { return e.FeasibleSlack > 0.1 && e.FeasibleSlack <= 1 }),
 		},
-		{"source is no node", twoNodes, []Shard{{ID: 1, Source: "q"}}, isInvalidEntry("shards[0]")},
+		{"unknown source", twoNodes, []Shard{{ID: 1, Source: "q"}}, isInvalidEntry("shards[0]")},
 		{"negative size", twoNodes, []Shard{{ID: 1, Bytes: -1}}, isInvalidEntry("shards[0]")},
 		{"pinned and unplaced", twoNodes, []Shard{{ID: 1, Pinned: true}}, isInvalidEntry("shards[0]")},
-		{"target is no node", twoNodes, []Shard{{ID: 1, Target: "z"}}, isInvalidEntry("shards[0]")},
+		{"unknown target", twoNodes, []Shard{{ID: 1, Target: "z"}}, isInvalidEntry("shards[0]")},
 		{"duplicate node name", []Node{{Name: "a"}, {Name: "a"}}, nil, isInvalidEntry("nodes[1]")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := NewPlan(&Inventory{Nodes: c.nodes, Shards: c.shards}, defaultSettings); !c.isExpected(err) {
-				t.Errorf("%T: %v", err, err)
+				t.Errorf("got unexpected error %T: %v", err, err)
 			}
 		})
 	}
--- a/rebalance/generate_test.go
+++ b/rebalance/generate_test.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// defaultSettings search small inventories for the optimal plan.
+// defaultSettings enable the search for the optimal plan of small inventories.
 var defaultSettings = Settings{Slack: 0.1, MaxMigrationsPerNode: 2, MaxMigrations: 8, MaxSearchedPlacements: 1 << 16}
 
-// swapInventory has two nodes whose shards have to change places, and neither has capacity for both.
+// swapInventory returns two nodes that have to swap their shards. Neither has capacity for both shards.
 func swapInventory() *Inventory {
 	return &Inventory{
 		Nodes: []Node{{Name: "a", Capacity: 10}, {Name: "b", Capacity: 10}},
@@ -23,7 +23,7 @@
 }
 
 // smallInventory returns a random inventory of up to 4 nodes and maxReferenceShards shards. Nodes may be full or over
-// their capacity; shards may be unplaced, pinned, restricted to a zone, in a group, or have a target.
+// capacity. Shards may be unplaced, pinned, restricted to a zone, in an anti-affinity group, or have a target.
 func smallInventory(random *rand.Rand) *Inventory {
 	inventory := &Inventory{}
 	nodes, shards := 1+random.IntN(4), random.IntN(maxReferenceShards+1)
@@ -55,26 +55,26 @@
 	return inventory
 }
 
-// largeFleet describes a generated inventory. A tenth of the nodes is draining, as many are new and empty, and the
+// largeFleet describes a generated inventory. A tenth of the nodes are draining, another tenth are new and empty, and the
 // loads of the others are uneven.
 type largeFleet struct {
 	nodes, shards int
 	spare         float64 // capacity beyond the even share, as a fraction of it
-	hasTargets    bool    // each shard has a target, for most of them its source
+	hasTargets    bool    // each shard has a target, which is its source for most shards
 	seed          uint64
 }
 
-// fleetGenerator holds the state of a generation.
+// fleetGenerator holds the state while an inventory is generated.
 type fleetGenerator struct {
 	random    *rand.Rand
 	inventory *Inventory
 	sizes     []int64 // by shard
 	capacity  int64   // of each node
 	loads     []int64 // by node
-	remaining int     // number of nodes that are not draining; they come first
+	remaining int     // number of nodes that are not draining; these come first
 }
 
-// inventory generates the inventory. The same description gives the same one.
+// inventory generates the inventory. The same largeFleet always gives the same inventory.
 func (f largeFleet) inventory() *Inventory {
 	g := &fleetGenerator{
 		random:    rand.New(rand.NewPCG(f.seed, 11)),
@@ -94,7 +94,7 @@
 			Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i%4), Capacity: g.capacity, Draining: i >= g.remaining,
 		})
 	}
-	firstUsed := f.nodes / 10 // the nodes before it are new
+	firstUsed := f.nodes / 10 // the nodes before this index are new
 	for i, size := range g.sizes {
 		source := g.inventory.Nodes[g.randomSource(size, firstUsed)].Name
 		g.inventory.Shards = append(g.inventory.Shards, Shard{ID: i, Bytes: size, Source: source})
@@ -105,8 +105,8 @@
 	return g.inventory
 }
 
-// randomSource puts a shard on a random node with enough capacity, from a first one on. If none is found, it takes one
-// with a low load, if need be beyond its capacity.
+// randomSource puts a shard of a size on a random node with enough capacity and an index of at least first. If it finds
+// none, it uses a node with a low load, even if that exceeds the capacity of the node.
 func (g *fleetGenerator) randomSource(size int64, first int) int {
 	count := len(g.loads) - first
 	node := first + g.random.IntN(count)
@@ -124,7 +124,7 @@
 	return node
 }
 
-// setTargets gives each shard a target, the largest first.
+// setTargets sets the target of each shard, the largest shard first.
 func (g *fleetGenerator) setTargets() {
 	clear(g.loads)
 	order := g.random.Perm(len(g.sizes))
@@ -136,8 +136,8 @@
 	}
 }
 
-// randomTarget returns for three of four shards their source, if it fits there, else the node with the least load of
-// three random ones, or of all if it does not fit.
+// randomTarget returns the shard's source for three of four shards if the shard fits there. Otherwise it returns the node
+// with the lowest load of three random nodes, or of all nodes if the shard does not fit.
 func (g *fleetGenerator) randomTarget(shard *Shard) int {
 	target := g.random.IntN(g.remaining)
 	for range 2 {
--- a/rebalance/plan_test.go
+++ b/rebalance/plan_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// planCounts sums up the results for random inventories.
+// planCounts accumulates the results for random inventories.
 type planCounts struct {
 	planned, rejected                  int
 	heuristicPlanned, heuristicOptimal int
-	heuristicBytes, fewestBytes        int64 // of the inventories that the heuristics planned
+	heuristicBytes, fewestBytes        int64 // totals for the inventories planned by the heuristics
 }
 
-// The search migrates as few bytes as any plan, and finds one exactly where one exists, compared with the reference
-// search. The heuristics' plans are valid. For 10,000 cases: WOODPROXY_CASES=10000.
+// The search finds a plan with the fewest bytes if and only if a plan exists, as compared with the reference search. The
+// heuristics' plans are valid. WOODPROXY_CASES=10000 runs 10,000 cases.
 func TestPlanMigratesFewestBytes(t *testing.T) {
 	cases := 250
 	if n, err := strconv.Atoi(os.Getenv("WOODPROXY_CASES")); err == nil {
@@ -33,21 +33,21 @@
 			counts.checkHeuristics(t, i, inventory, fewest)
 		}
 	}
-	t.Logf("%d planned and %d rejected correctly; by heuristics %d planned, %d of them optimal, %.3f times as many bytes",
+	t.Logf("%d planned, %d rejected correctly; by heuristics: %d planned, %d of these optimally, %.3f times the fewest bytes",
 		counts.planned, counts.rejected, counts.heuristicPlanned, counts.heuristicOptimal,
 		float64(counts.heuristicBytes)/float64(max(counts.fewestBytes, 1)))
 	if counts.planned < cases/4 {
-		t.Errorf("%d of %d cases were planned: the generator has to give more feasible ones", counts.planned, cases)
+		t.Errorf("%d of %d cases were planned: the generator must give more feasible cases", counts.planned, cases)
 	}
 	if counts.rejected < cases/10 {
-		t.Errorf("%d of %d cases were rejected: the generator has to give more infeasible ones", counts.rejected, cases)
+		t.Errorf("%d of %d cases were rejected: the generator must give more infeasible cases", counts.rejected, cases)
 	}
 	if counts.heuristicPlanned < counts.planned*8/10 {
 		t.Errorf("the heuristics planned %d of %d feasible cases", counts.heuristicPlanned, counts.planned)
 	}
 }
 
-// checkSearch compares the search with the reference search. It returns the fewest bytes, and false if no plan exists.
+// checkSearch compares the search with the reference search. It returns the fewest bytes, or false if no plan exists.
 func (c *planCounts) checkSearch(t *testing.T, index int, inventory *Inventory) (fewest int64, planned bool) {
 	t.Helper()
 	settings := defaultSettings
@@ -56,19 +56,19 @@
 	plan, err := NewPlan(inventory, settings)
 	if err != nil {
 		if fewest != infeasible {
-			t.Fatalf("case %d: %v, and %d bytes would do: %+v", index, err, fewest, inventory)
+			t.Fatalf("case %d: got error %v, want a plan of %d bytes: %+v", index, err, fewest, inventory)
 		}
 		if !isPlannerError(err) {
-			t.Fatalf("case %d: %T", index, err)
+			t.Fatalf("case %d: got error of unexpected type %T", index, err)
 		}
 		c.rejected++
 		return fewest, false
 	}
 	if err := verifyPlan(inventory, settings, plan); err != nil {
-		t.Fatalf("case %d: %v: %+v %+v", index, err, inventory, plan)
+		t.Fatalf("case %d: invalid plan: %v: %+v %+v", index, err, inventory, plan)
 	}
 	if plan.Bytes != fewest {
-		t.Fatalf("case %d: %d bytes, the fewest are %d: %+v %+v", index, plan.Bytes, fewest, inventory, plan)
+		t.Fatalf("case %d: got a plan of %d bytes, want %d: %+v %+v", index, plan.Bytes, fewest, inventory, plan)
 	}
 	c.planned++
 	return fewest, true
@@ -82,12 +82,12 @@
 	plan, err := NewPlan(inventory, settings)
 	if err != nil {
 		if !isPlannerError(err) {
-			t.Fatalf("case %d by heuristics: %T", index, err)
+			t.Fatalf("case %d by heuristics: got error of unexpected type %T", index, err)
 		}
 		return
 	}
 	if err := verifyPlan(inventory, settings, plan); err != nil {
-		t.Fatalf("case %d by heuristics: %v: %+v %+v", index, err, inventory, plan)
+		t.Fatalf("case %d by heuristics: invalid plan: %v: %+v %+v", index, err, inventory, plan)
 	}
 	c.heuristicPlanned++
 	if plan.Bytes == fewest {
@@ -109,15 +109,15 @@
 	inventory := swapInventory()
 	inventory.Nodes = append(inventory.Nodes, Node{Name: "c", Capacity: 8})
 	for _, c := range []struct {
-		name              string
-		maxSearchedStates int
+		name                  string
+		maxSearchedPlacements int
 	}{
 		{"by heuristics", 0},
 		{"by search", 1 << 16},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := defaultSettings
-			settings.MaxSearchedPlacements = c.maxSearchedStates
+			settings.MaxSearchedPlacements = c.maxSearchedPlacements
 			plan, err := NewPlan(inventory, settings)
 			if err != nil {
 				t.Fatal(err)
@@ -142,13 +142,13 @@
 	}
 }
 
-// At full size a plan is valid and, with a tenth of the capacity to spare, within a twentieth of the lower bound.
-// WOODPROXY_MOVES=1 adds fleets of up to 1,000 nodes.
+// Plans for large fleets are valid. With a tenth of spare capacity they migrate at most 5% more bytes than the lower
+// bound. WOODPROXY_MOVES=1 adds fleets of up to 1,000 nodes.
 func TestLargeFleetIsPlannedNearLowerBound(t *testing.T) {
 	type fleet struct {
 		nodes, shards int
 		spare, slack  float64
-		maxRatio      float64 // of the plan's bytes to the lower bound
+		maxRatio      float64 // maximum ratio of the plan's bytes to the lower bound
 	}
 	fleets := []fleet{{60, 1200, 0.10, 0.08, 1.05}, {60, 1200, 0.03, 0.025, 1.2}}
 	if os.Getenv("WOODPROXY_MOVES") != "" {
@@ -159,7 +159,7 @@
 	}
 	for _, c := range fleets {
 		for _, hasTargets := range []bool{false, true} {
-			name := fmt.Sprintf("%d nodes, %v to spare, targets %v", c.nodes, c.spare, hasTargets)
+			name := fmt.Sprintf("%d nodes, spare capacity %v, targets %v", c.nodes, c.spare, hasTargets)
 			t.Run(name, func(t *testing.T) {
 				inventory := largeFleet{c.nodes, c.shards, c.spare, hasTargets, 1}.inventory()
 				settings := Settings{Slack: c.slack, MaxMigrationsPerNode: 2, MaxMigrations: 64}
@@ -179,15 +179,15 @@
 				t.Logf("%d shards: %.4f of the lower bound, %d steps, %d intermediate migrations, %v", c.shards,
 					float64(plan.Bytes)/float64(plan.LowerBoundBytes), len(plan.Steps), plan.IntermediateMigrations, elapsed)
 				if float64(plan.Bytes) > c.maxRatio*float64(plan.LowerBoundBytes) {
-					t.Errorf("%d bytes, lower bound %d", plan.Bytes, plan.LowerBoundBytes)
+					t.Errorf("got a plan of %d bytes, which is too far above the lower bound %d", plan.Bytes, plan.LowerBoundBytes)
 				}
 			})
 		}
 	}
 }
 
-// fullInventory has 20 nodes that are full to the last byte and whose 200 shards all have to migrate, and a node with
-// some free capacity.
+// fullInventory returns 20 nodes without any free capacity whose 200 shards all have to migrate, and an empty node with a
+// capacity of freeBytes.
 func fullInventory(freeBytes int64) *Inventory {
 	inventory := &Inventory{}
 	for n := range 20 {
@@ -202,8 +202,8 @@
 	return inventory
 }
 
-// Free capacity for one shard is enough for a plan close to the lower bound. With one byte less, the error says what
-// would help.
+// Free capacity for one shard is enough for a plan close to the lower bound. With one byte less, the error reports the
+// shortfalls.
 func TestFullNodesNeedCapacityForOneShard(t *testing.T) {
 	settings := Settings{MaxMigrationsPerNode: 2, MaxMigrations: 32}
 	t.Run("enough for one shard", func(t *testing.T) {
@@ -216,13 +216,13 @@
 			t.Errorf("%v", err)
 		}
 		if plan.Bytes > plan.LowerBoundBytes*6/5 {
-			t.Errorf("%d bytes, lower bound %d, %d intermediate migrations",
+			t.Errorf("got a plan of %d bytes, want at most 6/5 of the lower bound %d; %d intermediate migrations",
 				plan.Bytes, plan.LowerBoundBytes, plan.IntermediateMigrations)
 		}
 		t.Logf("%d bytes, lower bound %d, %d intermediate migrations, %d steps",
 			plan.Bytes, plan.LowerBoundBytes, plan.IntermediateMigrations, len(plan.Steps))
 	})
-	t.Run("a byte too little", func(t *testing.T) {
+	t.Run("one byte too few", func(t *testing.T) {
 		_, err := NewPlan(fullInventory(6), settings)
 		var stuck *ScheduleError
 		if !errors.As(err, &stuck) || stuck.PendingShards != 200 || stuck.Shortfalls[0].Bytes != 7 {
@@ -231,7 +231,7 @@
 	})
 }
 
-// The baseline, all migrations at once, exceeds the capacity of nodes where the planner finds a plan.
+// Running all migrations at once exceeds the capacity of a node in an inventory for which the planner finds a plan.
 func TestPlanIsNeededWhereConcurrentMigrationsExceedCapacity(t *testing.T) {
 	inventory := largeFleet{nodes: 60, shards: 1200, spare: 0.03, hasTargets: true, seed: 2}.inventory()
 	loads, capacity, maxLoad := map[string]int64{}, inventory.Nodes[0].Capacity, int64(0)
@@ -245,12 +245,12 @@
 		maxLoad = max(maxLoad, load)
 	}
 	if maxLoad <= capacity {
-		t.Errorf("all at once, the fullest node has %d bytes of capacity %d", maxLoad, capacity)
+		t.Errorf("all migrations at once: got %d bytes on the fullest node, want more than its capacity of %d", maxLoad, capacity)
 	}
 	plan, err := NewPlan(inventory, Settings{MaxMigrationsPerNode: 2, MaxMigrations: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("all at once, the fullest node has %.2f of its capacity; the plan never exceeds it, in %d steps",
+	t.Logf("all migrations at once load the fullest node to %.2f of its capacity; the plan stays within capacity in %d steps",
 		float64(maxLoad)/float64(capacity), len(plan.Steps))
 }
--- a/rebalance/reference_test.go
+++ b/rebalance/reference_test.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// maxReferenceShards is the number of shards that the reference search is limited to.
+// maxReferenceShards is the maximum number of shards that the reference search supports.
 const maxReferenceShards = 8
 
-// referenceState holds by shard the index of its node, or the number of nodes if it is unplaced.
+// referenceState holds, by shard, the index of its node, or the number of nodes if the shard is unplaced.
 type referenceState [maxReferenceShards]int8
 
-// referenceSearch relaxes the costs of all placements until nothing changes, independently of the planner's code.
+// referenceSearch relaxes the costs of all placements until none can be lowered. It shares no code with the planner.
 type referenceSearch struct {
 	inventory *Inventory
 	nodeIndex map[string]int
@@ -16,11 +16,11 @@
 	costs     map[referenceState]int64
 }
 
-// infeasible is the result of fewestBytes where no plan exists.
+// infeasible is the result of fewestBytes if no plan exists.
 const infeasible = -1
 
-// fewestBytes returns the fewest bytes that a plan for a small inventory migrates, or infeasible. It takes all weights
-// for 1.
+// fewestBytes returns the fewest bytes that a plan for a small inventory migrates, or infeasible. It assumes that all node
+// weights are 1.
 func fewestBytes(inventory *Inventory, settings Settings) int64 {
 	ref := newReferenceSearch(inventory, settings)
 	start := ref.startState()
@@ -81,7 +81,7 @@
 	return start
 }
 
-// loads returns the bytes by node, and those that are unplaced in the last place.
+// loads returns the bytes by node, followed by the bytes of the unplaced shards.
 func (ref *referenceSearch) loads(state referenceState) []int64 {
 	loads := make([]int64, len(ref.inventory.Nodes)+1)
 	for i, shard := range ref.inventory.Shards {
@@ -90,7 +90,7 @@
 	return loads
 }
 
-// isFinal reports whether a state meets all constraints on the end of a plan.
+// isFinal reports whether a state meets all constraints on the final state of a plan.
 func (ref *referenceSearch) isFinal(state referenceState, loads []int64) bool {
 	for i := range ref.inventory.Shards {
 		if !ref.isFinalNode(state, i) {
@@ -105,7 +105,7 @@
 	return true
 }
 
-// isFinalNode reports whether one shard may end where it is.
+// isFinalNode reports whether the node of a shard may be its final node.
 func (ref *referenceSearch) isFinalNode(state referenceState, index int) bool {
 	nodes, shard, at := ref.inventory.Nodes, ref.inventory.Shards[index], int(state[index])
 	if at == len(nodes) || nodes[at].Draining || shard.Target != "" && ref.nodeIndex[shard.Target] != at ||
@@ -121,7 +121,7 @@
 	return true
 }
 
-// relax returns the states that one migration leads to at a lower cost than known.
+// relax lowers the costs of the states that one migration leads to, and returns the states whose cost was lowered.
 func (ref *referenceSearch) relax(state referenceState, loads []int64) []referenceState {
 	var cheaper []referenceState
 	for i, shard := range ref.inventory.Shards {
--- a/rebalance/verify_test.go
+++ b/rebalance/verify_test.go
@@ -6,19 +6,18 @@
 	"testing"
 )
 
-// planVerifier carries a plan out and checks it against the inventory, independently of the planner's code.
+// planVerifier executes a plan and checks it against the inventory. It shares no code with the planner.
 type planVerifier struct {
 	inventory *Inventory
 	settings  Settings
 	nodes     map[string]Node
 	shards    map[int]Shard
-	nodeOf    map[int]string   // by shard's ID; empty: unplaced
-	loads     map[string]int64 // by node's name
-	migrated  int64            // bytes so far
+	nodeOf    map[int]string   // by shard ID; empty: unplaced
+	loads     map[string]int64 // by node name
+	migrated  int64            // bytes migrated so far
 }
 
-// verifyPlan returns an error if a plan violates a limit or a constraint, does not place all shards, or if its sums are
-// wrong.
+// verifyPlan returns an error if a plan violates a limit or a constraint, leaves a shard unplaced or has wrong sums.
 func verifyPlan(inventory *Inventory, settings Settings, plan *Plan) error {
 	v := newPlanVerifier(inventory, settings)
 	for i, step := range plan.Steps {
@@ -34,7 +33,8 @@
 		return err
 	}
 	if v.migrated != plan.Bytes || plan.Bytes < plan.LowerBoundBytes {
-		return fmt.Errorf("%d bytes migrated, plan says %d, lower bound %d", v.migrated, plan.Bytes, plan.LowerBoundBytes)
+		return fmt.Errorf("%d bytes migrated, but the plan states %d with lower bound %d",
+			v.migrated, plan.Bytes, plan.LowerBoundBytes)
 	}
 	return nil
 }
@@ -54,10 +54,11 @@
 	return v
 }
 
-// checkStep checks the number of migrations, each of them, and the capacity of nodes with all copies under way.
+// checkStep checks the number of migrations, each migration, and the capacities of nodes while all copies of migrating
+// shards exist.
 func (v *planVerifier) checkStep(step []Migration) error {
 	if len(step) > v.settings.MaxMigrations || len(step) == 0 {
-		return fmt.Errorf("%d migrations", len(step))
+		return fmt.Errorf("number of migrations %d is out of range", len(step))
 	}
 	perNode, incoming, migrating := map[string]int{}, map[string]int64{}, map[int]bool{}
 	for _, migration := range step {
@@ -93,7 +94,7 @@
 	target := v.nodes[migration.To]
 	if !ok || migration.From != v.nodeOf[migration.Shard] || migration.Bytes != shard.Bytes ||
 		target.Draining || target.Name == "" || shard.Pinned {
-		return fmt.Errorf("%+v, and the shard is on %q", migration, v.nodeOf[migration.Shard])
+		return fmt.Errorf("invalid migration %+v of a shard on %q", migration, v.nodeOf[migration.Shard])
 	}
 	return nil
 }
@@ -107,7 +108,7 @@
 	}
 }
 
-// checkFinalNodes checks that each shard is on a node that it may be on.
+// checkFinalNodes checks that each shard is on a node that its constraints allow.
 func (v *planVerifier) checkFinalNodes() error {
 	for _, shard := range v.inventory.Shards {
 		node := v.nodes[v.nodeOf[shard.ID]]
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// checkFinalLoads checks that loads are within capacity, and balanced within the slack if a shard is free.
+// checkFinalLoads checks that loads are within capacity, and within the slack if a shard has no required node.
 func (v *planVerifier) checkFinalLoads() error {
 	totalWeight, totalBytes, hasFreeShards, required := 0.0, int64(0), false, map[string]int64{}
 	for _, node := range v.inventory.Nodes {
@@ -154,21 +155,21 @@
 			maxLoad = min(maxLoad, max(int64(evenShare*(1+v.settings.Slack)), required[node.Name]))
 		}
 		if v.loads[node.Name] > maxLoad && !node.Draining {
-			return fmt.Errorf("%s ends with %d bytes, of at most %d", node.Name, v.loads[node.Name], maxLoad)
+			return fmt.Errorf("%s ends with %d bytes, more than the maximum of %d", node.Name, v.loads[node.Name], maxLoad)
 		}
 	}
 	return nil
 }
 
-// The verifier finds planted faults. It counts a migrating shard at both its nodes.
+// The verifier rejects invalid plans. It counts a migrating shard at both its nodes.
 func TestVerifierRejectsInvalidPlans(t *testing.T) {
-	roomy := swapInventory()
-	roomy.Nodes[0].Capacity, roomy.Nodes[1].Capacity = 16, 16
+	sufficient := swapInventory()
+	sufficient.Nodes[0].Capacity, sufficient.Nodes[1].Capacity = 16, 16
 	concurrent := [][]Migration{{{1, "a", "b", 8}, {2, "b", "a", 8}}}
 	onePerNode := defaultSettings
 	onePerNode.MaxMigrationsPerNode = 1
-	oneInAll := defaultSettings
-	oneInAll.MaxMigrations = 1
+	oneInTotal := defaultSettings
+	oneInTotal.MaxMigrations = 1
 	for _, c := range []struct {
 		name      string
 		inventory *Inventory
@@ -176,36 +177,36 @@
 		plan      Plan
 		isValid   bool
 	}{
-		{"valid", roomy, defaultSettings, Plan{Steps: concurrent, Bytes: 16, LowerBoundBytes: 16}, true},
+		{"valid", sufficient, defaultSettings, Plan{Steps: concurrent, Bytes: 16, LowerBoundBytes: 16}, true},
 		{
 			"concurrent swap without capacity", swapInventory(), defaultSettings,
 			Plan{Steps: concurrent, Bytes: 16, LowerBoundBytes: 16},
 			false,
 		},
-		{"sum of bytes too small", roomy, defaultSettings, Plan{Steps: concurrent, Bytes: 15}, false},
+		{"sum of bytes too small", sufficient, defaultSettings, Plan{Steps: concurrent, Bytes: 15}, false},
 		{
-			"below the lower bound", roomy, defaultSettings,
+			"below the lower bound", sufficient, defaultSettings,
 			Plan{Steps: concurrent, Bytes: 16, LowerBoundBytes: 17},
 			false,
 		},
-		{"too many migrations of a node", roomy, onePerNode, Plan{Steps: concurrent, Bytes: 16}, false},
-		{"too many migrations in all", roomy, oneInAll, Plan{Steps: concurrent, Bytes: 16}, false},
-		{"empty step", roomy, defaultSettings, Plan{Steps: [][]Migration{concurrent[0], {}}, Bytes: 16}, false},
-		{"wrong source", roomy, defaultSettings, Plan{Steps: [][]Migration{{{1, "b", "a", 8}}}, Bytes: 8}, false},
+		{"too many migrations of a node", sufficient, onePerNode, Plan{Steps: concurrent, Bytes: 16}, false},
+		{"too many migrations in total", sufficient, oneInTotal, Plan{Steps: concurrent, Bytes: 16}, false},
+		{"empty step", sufficient, defaultSettings, Plan{Steps: [][]Migration{concurrent[0], {}}, Bytes: 16}, false},
+		{"wrong source", sufficient, defaultSettings, Plan{Steps: [][]Migration{{{1, "b", "a", 8}}}, Bytes: 8}, false},
 		{
-			"shard migrates twice in a step", roomy, defaultSettings,
+			"shard migrates twice in a step", sufficient, defaultSettings,
 			Plan{Steps: [][]Migration{{{1, "a", "b", 8}, {1, "a", "b", 8}}}, Bytes: 16},
 			false,
 		},
 		{
-			"shard not on its target", roomy, defaultSettings,
+			"shard not on its target", sufficient, defaultSettings,
 			Plan{Steps: [][]Migration{{{1, "a", "b", 8}}}, Bytes: 8},
 			false,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := verifyPlan(c.inventory, c.settings, &c.plan); (err == nil) != c.isValid {
-				t.Errorf("valid %v, and the verifier says %v", c.isValid, err)
+				t.Errorf("want valid %v, got error %v", c.isValid, err)
 			}
 		})
 	}
