--- a/rebalance/placement.go
+++ b/rebalance/placement.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// assignmentsPerShard and extraAssignments limit the assignments after which shards are still evicted: the limit is
-	// assignmentsPerShard for each shard that waits initially, plus extraAssignments for small inventories. Without a
-	// limit two shards could evict each other forever, because an evicted shard waits for a node again.
+	// No shard is evicted after assignmentsPerShard assignments for each initially waiting shard plus extraAssignments,
+	// which matter in small inventories. Without this limit two shards could evict each other forever, because an evicted
+	// shard waits for a node again.
 	assignmentsPerShard = 4
 	extraAssignments    = 64
 	// evictionDiscount is the divisor of the cost of evicting a shard that has to migrate in any case.
--- a/rebalance/schedule.go
+++ b/rebalance/schedule.go
@@ -7,9 +7,8 @@
 )
 
 const (
-	// stepsPerShard and extraSteps limit the steps after which intermediate migrations are still planned, so that these
-	// can't go on forever: the limit is stepsPerShard for each shard that migrates, plus extraSteps for small
-	// inventories.
+	// No intermediate migration is planned after stepsPerShard steps for each migrating shard plus extraSteps, which
+	// matter in small inventories. Without this limit intermediate migrations could go on forever.
 	stepsPerShard = 4
 	extraSteps    = 64
 	// insufficientPenalty is added to the cost in bytes of an intermediate migration that does not free enough
