--- a/internal/admin/answer_test.go
+++ b/internal/admin/answer_test.go
@@ -9,22 +9,22 @@
 	"testing"
 )
 
-// namedError states the name of its type.
+// namedError is an error with a TypeName method.
 type namedError struct{ Figure int }
 
 func (e *namedError) Error() string    { return "named" }
 func (e *namedError) TypeName() string { return "planner.NamedError" }
 
-func TestTypeNamePrefersTheNameThatAnErrorStates(t *testing.T) {
+func TestTypeNamePrefersTypeNameMethod(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
 		want string
 	}{
-		{name: "stated", err: &namedError{}, want: "planner.NamedError"},
-		{name: "stated by a wrapped error", err: fmt.Errorf("plan: %w", &namedError{}), want: "planner.NamedError"},
+		{name: "TypeName method", err: &namedError{}, want: "planner.NamedError"},
+		{name: "TypeName method of a wrapped error", err: fmt.Errorf("plan: %w", &namedError{}), want: "planner.NamedError"},
 		{name: "pointer type", err: &http.MaxBytesError{}, want: "http.MaxBytesError"},
-		{name: "text only", err: errors.New("text"), want: "errors.errorString"},
+		{name: "type of package errors", err: errors.New("text"), want: "errors.errorString"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := typeName(c.err); got != c.want {
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestWriteJSONAnswersWithStatusTypeAndBody(t *testing.T) {
+func TestWriteJSONWritesStatusContentTypeAndBody(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -43,11 +43,11 @@
 	}{
 		{name: "value", status: http.StatusOK, value: map[string]int{"moves": 2}, body: `{"moves":2}` + "\n"},
 		{
-			name: "error with its fields", status: http.StatusConflict, value: newErrorAnswer(&namedError{Figure: 3}),
+			name: "error with its fields", status: http.StatusConflict, value: newErrorResponse(&namedError{Figure: 3}),
 			body: `{"type":"planner.NamedError","error":"named","found":{"Figure":3}}` + "\n",
 		},
 		{
-			name: "error without fields", status: http.StatusNotFound, value: errorAnswer{Message: "none"},
+			name: "error without fields", status: http.StatusNotFound, value: errorResponse{Message: "none"},
 			body: `{"type":"","error":"none"}` + "\n",
 		},
 	} {
