--- a/cmd/emulator/spread.go
+++ b/cmd/emulator/spread.go
@@ -42,7 +42,7 @@
 		Proxies:       size,
 		Loss:          c.Loss,
 		MaxDelaySteps: 1,
-		HoldTime:      replica.Second,
+		TakeoverDelay: replica.Second,
 		QuotaFloor:    0.25,
 		NoHeartbeats:  true,
 	}
--- a/internal/simnet/fleet.go
+++ b/internal/simnet/fleet.go
@@ -29,7 +29,7 @@
 	Duplication         float64      // probability that a datagram is delivered twice
 	MaxDelaySteps       int          // maximum delay of a packet in steps; values below 1 count as 1
 	QuotaFloor          float64      // fraction of an even share that is never taken over and is usable before confirmation
-	HoldTime            replica.Time // delay before the quota of a departed proxy is taken over
+	TakeoverDelay       replica.Time // delay before the quota of a departed proxy is taken over
 	NoHeartbeats        bool         // proxies send no heartbeats
 	ClockSkew           replica.Time // maximum lead of a proxy's clock over simulated time
 
@@ -87,7 +87,7 @@
 		Incarnation:    p.incarnation,
 		FleetSize:      f.ConfiguredFleetSize,
 		Address:        fmt.Sprint(proxy),
-		TakeoverDelay:  f.HoldTime,
+		TakeoverDelay:  f.TakeoverDelay,
 		QuotaFloor:     f.QuotaFloor,
 		ObservationTTL: 10 * replica.Second,
 	}, f.random.Uint64())
--- a/internal/simnet/fleet_test.go
+++ b/internal/simnet/fleet_test.go
@@ -30,7 +30,7 @@
 		Duplication:   0.05,
 		MaxDelaySteps: 3,
 		QuotaFloor:    0.25,
-		HoldTime:      2 * second,
+		TakeoverDelay: 2 * second,
 		ClockSkew:     60 * second,
 	}
 }
@@ -284,7 +284,7 @@
 				Proxies:       proxies,
 				Loss:          0.05,
 				MaxDelaySteps: 1,
-				HoldTime:      second,
+				TakeoverDelay: second,
 				QuotaFloor:    0.25,
 				NoHeartbeats:  true,
 			}, 3)
--- a/internal/simnet/zonedfleet_test.go
+++ b/internal/simnet/zonedfleet_test.go
@@ -32,7 +32,7 @@
 		Duplication:   0.02,
 		MaxDelaySteps: 2,
 		QuotaFloor:    0.25,
-		HoldTime:      replica.Second,
+		TakeoverDelay: replica.Second,
 		ClockSkew:     60 * replica.Second,
 	}
 	zones := simnet.ZoneConfig{Zones: []string{"a", "b", "c"}, NodesPerZone: 4, RequestRate: 12}
