--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -29,19 +29,19 @@
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes})
 }
 
-// metricsCollector collects the proxy's counters and the figures of its modules at each scrape.
+// metricsCollector collects the counters of the proxy and the statistics of its modules at each scrape.
 type metricsCollector struct {
 	counters *proxy.Counters
 	gossip   *gossipAdapter
 	recovery *recoveryTracker
 }
 
-// gaugeCounters are those of the proxy's counters that go down as well.
+// gaugeCounters are the names of the proxy's counters that can decrease.
 var gaugeCounters = map[string]bool{
 	"ClientsOpen": true, "Held": true, "Bytes": true, "Passing": true, "UpstreamOpen": true,
 }
 
-// Describe sends nothing, which makes the collector unchecked: its metrics are known when they are collected.
+// Describe sends nothing, which makes the collector unchecked: its metrics are not known before they are collected.
 func (m metricsCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect sends the current value of each metric.
@@ -55,23 +55,23 @@
 			sink.counter(snakeCase(name), help, value)
 		}
 	})
-	sink.byReason(m.counters)
+	sink.labeledCounters(m.counters)
 	if m.gossip.duties != nil {
 		sink.duties(m.gossip.duties.actor.Stats())
 	}
 	if m.recovery != nil {
-		sink.recovery(m.recovery.figures())
+		sink.recovery(m.recovery.status())
 	}
 	if m.gossip.negativeCache != nil {
 		sink.negativeCache(m.gossip.negativeCache.actor.Stats())
 	}
 	if status := m.gossip.sender.status(); status != nil {
-		sink.gauge("peers_share", "Part of what all proxies may do together that this one may.", status.QuotaShare)
-		sink.gauge("peers_known", "Proxies that are known, this one included.", float64(len(status.Members)))
+		sink.gauge("peers_share", "Fraction of the fleet's quota that this proxy may use.", status.QuotaShare)
+		sink.gauge("peers_known", "Known proxies, including this one.", float64(len(status.Members)))
 	}
 }
 
-// metricSink makes metrics of values and sends them.
+// metricSink converts values to metrics and sends them.
 type metricSink chan<- prometheus.Metric
 
 func (s metricSink) gauge(name, help string, value float64) {
@@ -86,54 +86,55 @@
 	s <- prometheus.MustNewConstMetric(prometheus.NewDesc(metricPrefix+name, help, nil, nil), kind, value)
 }
 
-// byReason sends what is counted by reason, invariant, or system call.
-func (s metricSink) byReason(counters *proxy.Counters) {
+// labeledCounters sends the counters that have a label, for example the reason, invariant or system call, and further
+// statistics of the process.
+func (s metricSink) labeledCounters(counters *proxy.Counters) {
 	counters.EachReason(func(c proxy.ReasonCount) {
 		desc := prometheus.NewDesc(metricPrefix+c.Metric+"_total", c.Help, []string{c.Label}, nil)
 		s <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(c.Count), c.Value)
 	})
-	failed := prometheus.NewDesc(metricPrefix+"local_errors_total", "System calls that failed for a reason of this machine.",
+	failed := prometheus.NewDesc(metricPrefix+"local_errors_total", "System calls that failed for a local reason.",
 		[]string{"call", "errno"}, nil)
 	counters.LocalErrors.Each(func(kind proxy.SystemCallError, count int64) {
 		name := unix.ErrnoName(kind.Errno)
 		s <- prometheus.MustNewConstMetric(failed, prometheus.CounterValue, float64(count), kind.Call, name)
 	})
-	s.counter("wall_clock_steps", "Times that the wall clock was seen to step.", counters.WallClockSteps.Load())
+	s.counter("wall_clock_steps", "Detected steps of the wall clock.", counters.WallClockSteps.Load())
 	s.counter("state_write_failures", "Writes of the state file that failed.", counters.StateWriteFailures.Load())
-	s.counter("traces_omitted", "Requests whose trace was not logged, since there were too many.", counters.TracesOmitted.Load())
+	s.counter("traces_omitted", "Requests whose trace was not logged because of the rate limit.", counters.TracesOmitted.Load())
 	s.gauge("goroutines", "Goroutines of the process.", float64(runtime.NumGoroutine()))
 }
 
-func (s metricSink) duties(figures duties.Statistics) {
-	s.gauge("turns_here", "Proxies that duties are dealt out to.", float64(figures.Alive))
-	s.gauge("turns_watchers", "Proxies that said lately that their watch of discovery lives.", float64(figures.Watchers))
-	s.gauge("turns_kept_nodes", "Nodes to which this proxy keeps idle connections.", float64(figures.OwnedNodes))
-	s.gauge("turns_passed_nodes", "Nodes that this proxy passes over.", float64(figures.EjectedNodes))
-	s.counter("turns_trials", "Trials of silent nodes by this proxy.", figures.ProbesSent)
-	s.counter("turns_told", "Trials by others that were heard of.", figures.ReportsReceived)
-	s.counter("turns_twice", "Of these, such that came while one was out.", figures.DuplicateProbes)
-	s.counter("turns_refused", "Words of others that were out of their bounds.", figures.RejectedReports)
-	s.counter("turns_moved", "Nodes whose idle connections became this proxy's duty, or another's.", figures.OwnershipChanges)
+func (s metricSink) duties(stats duties.Statistics) {
+	s.gauge("turns_here", "Proxies to which duties are assigned.", float64(stats.Alive))
+	s.gauge("turns_watchers", "Proxies with a valid watch lease.", float64(stats.Watchers))
+	s.gauge("turns_kept_nodes", "Nodes to which this proxy keeps idle connections.", float64(stats.OwnedNodes))
+	s.gauge("turns_passed_nodes", "Nodes that this proxy has ejected.", float64(stats.EjectedNodes))
+	s.counter("turns_trials", "Health check probes that this proxy has sent to silent nodes.", stats.ProbesSent)
+	s.counter("turns_told", "Accepted probe reports of other proxies.", stats.ReportsReceived)
+	s.counter("turns_twice", "Probes sent less than half an interval after the latest one.", stats.DuplicateProbes)
+	s.counter("turns_refused", "Rejected probe reports of other proxies.", stats.RejectedReports)
+	s.counter("turns_moved", "Nodes whose idle connections this proxy took over or gave up.", stats.OwnershipChanges)
 }
 
-func (s metricSink) recovery(figures recovery.Status) {
-	s.gauge("recovery_full_seconds", "Time from the start until the proxy was full, 0: it is not yet.",
-		float64(figures.FullServiceAfterMS)/1000)
-	s.gauge("recovery_drained", "Nodes left alone by what was stored.", float64(figures.DrainingEndpoints))
+func (s metricSink) recovery(stats recovery.Status) {
+	s.gauge("recovery_full_seconds", "Time from the start until full service was first reached, 0 before that.",
+		float64(stats.FullServiceAfterMS)/1000)
+	s.gauge("recovery_drained", "Endpoints that received no requests at the start because of the state file.", float64(stats.DrainingEndpoints))
 }
 
-func (s metricSink) negativeCache(figures negativecache.Stats) {
-	believed := 0.0
-	if figures.Serving {
-		believed = 1
+func (s metricSink) negativeCache(stats negativecache.Stats) {
+	serving := 0.0
+	if stats.Serving {
+		serving = 1
 	}
-	s.gauge("missing_believed", "Whether missing keys are believed by now.", believed)
-	s.counter("missing_hits", "Look-ups answered by what is known to be missing.", figures.Hits)
-	s.counter("missing_put", "Missing keys that were taken.", figures.Stored)
-	s.counter("missing_cleared", "Times that all was forgotten.", figures.Flushes)
+	s.gauge("missing_believed", "Whether absent keys are served from the negative cache.", serving)
+	s.counter("missing_hits", "Lookups that found an absent key.", stats.Hits)
+	s.counter("missing_put", "Absent keys that were stored.", stats.Stored)
+	s.counter("missing_cleared", "Flushes of the negative cache.", stats.Flushes)
 }
 
-// snakeCase converts a counter's name in camel case to a metric's.
+// snakeCase converts the name of a counter in camel case to the name of a metric.
 func snakeCase(name string) string {
 	var b strings.Builder
 	for i, r := range name {
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -10,10 +10,11 @@
 	"go.uber.org/zap"
 )
 
-// recoveryInterval is the time between two looks at what the stages of recovery depend on.
+// recoveryInterval is the interval at which the inputs of the recovery module are polled.
 const recoveryInterval = 100 * time.Millisecond
 
-// recoveryTracker follows the stages of recovery after the start, and has the state stored meanwhile and from then on.
+// recoveryTracker tracks the stages of recovery after the start of the process. It also writes the state file for as long
+// as the process runs.
 type recoveryTracker struct {
 	gossip    *gossipAdapter
 	endpoints *proxy.EndpointList
@@ -23,18 +24,19 @@
 	writer    *snapshotWriter
 
 	quit  chan struct{} // closed by stop
-	ended chan struct{} // closed when run has returned
+	ended chan struct{} // closed when run returns
 
-	completedSeen int64 // of the counters, what the instance was told; used by run only
-	failedSeen    int64
+	// Values of the counters up to which requests have been reported to the recovery module; used by run only.
+	completedReported int64
+	failedReported    int64
 
-	mu       sync.Mutex
-	instance *recovery.Tracker // guarded by mu
+	mu      sync.Mutex
+	tracker *recovery.Tracker // guarded by mu
 }
 
-// newRecoveryTracker returns a tracker in the first stage.
+// newRecoveryTracker returns a tracker in the first stage of recovery.
 func newRecoveryTracker(s *server, restored restoredState) *recoveryTracker {
-	tracker := &recoveryTracker{
+	t := &recoveryTracker{
 		gossip:    s.gossip,
 		endpoints: s.endpoints,
 		counters:  s.counters,
@@ -45,17 +47,17 @@
 		ended:     make(chan struct{}),
 	}
 	if s.config.StateStore != nil {
-		tracker.writer.save = s.config.StateStore.Save
-		tracker.writer.failures = &s.counters.StateWriteFailures
+		t.writer.save = s.config.StateStore.Save
+		t.writer.failures = &s.counters.StateWriteFailures
 	}
-	terms := recovery.DefaultSettings(s.config.Gossip != nil)
-	tracker.instance = recovery.New(tracker.now(), terms, restored.outcome, restored.drained)
-	return tracker
+	settings := recovery.DefaultSettings(s.config.Gossip != nil)
+	t.tracker = recovery.New(t.now(), settings, restored.outcome, restored.draining)
+	return t
 }
 
 func (t *recoveryTracker) now() recovery.Time { return recovery.Time(t.clock.Now()) }
 
-// run follows the stages and writes snapshots until stop.
+// run tracks the stages and writes snapshots until stop is called.
 func (t *recoveryTracker) run() {
 	defer close(t.ended)
 	ticker := time.NewTicker(recoveryInterval)
@@ -74,46 +76,47 @@
 	}
 }
 
-// tick tells the recovery module what has happened since the last tick, and returns the changes of stage.
+// tick reports the events since the last tick to the recovery module and returns the resulting stage changes.
 func (t *recoveryTracker) tick() []recovery.StageChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.reportAnswers()
-	changes := t.instance.Tick(t.now())
+	t.reportFinishedRequests()
+	changes := t.tracker.Tick(t.now())
 	if t.endpoints.LatestIndex() > 0 {
-		changes = append(changes, t.instance.EndpointListReceived(t.now())...)
+		changes = append(changes, t.tracker.EndpointListReceived(t.now())...)
 	}
 	if status := t.gossip.sender.status(); status != nil {
-		alive := -1 // others than this proxy, which is a member too
+		alive := -1 // this proxy is a member too, and is not counted
 		for i := range status.Members {
 			if isAlive(&status.Members[i]) {
 				alive++
 			}
 		}
-		changes = append(changes, t.instance.UpdatePeers(t.now(), alive, status.CatchingUp)...)
+		changes = append(changes, t.tracker.UpdatePeers(t.now(), alive, status.CatchingUp)...)
 	}
 	return changes
 }
 
-// reportAnswers reports the requests that were answered in time, and those that were not. The caller holds the lock.
-func (t *recoveryTracker) reportAnswers() {
-	for ; t.completedSeen < t.counters.Completed.Load(); t.completedSeen++ {
-		t.instance.RequestFinished(true)
+// reportFinishedRequests reports the requests that have finished since the last call, and whether they were answered in
+// time. The caller holds the lock.
+func (t *recoveryTracker) reportFinishedRequests() {
+	for ; t.completedReported < t.counters.Completed.Load(); t.completedReported++ {
+		t.tracker.RequestFinished(true)
 	}
-	for ; t.failedSeen < t.counters.Shed.Load()+t.counters.Errored.Load(); t.failedSeen++ {
-		t.instance.RequestFinished(false)
+	for ; t.failedReported < t.counters.Shed.Load()+t.counters.Errored.Load(); t.failedReported++ {
+		t.tracker.RequestFinished(false)
 	}
 }
 
-// stop ends run and waits for it. Run must have been started.
+// stop ends run and waits until it has returned. It must not be called unless run was started.
 func (t *recoveryTracker) stop() {
 	close(t.quit)
 	<-t.ended
 }
 
-// figures returns how recovery stands. It may be called from any goroutine.
-func (t *recoveryTracker) figures() recovery.Status {
+// status returns the status of recovery. It may be called from any goroutine.
+func (t *recoveryTracker) status() recovery.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.instance.Status(t.now())
+	return t.tracker.Status(t.now())
 }
--- a/internal/server/zonehealthfile.go
+++ b/internal/server/zonehealthfile.go
@@ -10,20 +10,21 @@
 
 const (
 	maxZoneNameLength = 100 // bytes
-	minRegionZones    = 2
+	minRegionZones    = 2   // minimum number of zones in a region
 
-	minQuietMS    = 50
-	maxShortMS    = 60_000    // of quiet_ms and settle_ms: a minute
-	minLongMS     = 100       // of hold_ms and step_ms
-	maxLongMS     = 3_600_000 // of hold_ms, most_hold_ms and step_ms: an hour
-	quietFraction = 0.6       // of the shortest latency objective, where quiet_ms is left out
+	minQuietMS    = 50        // minimum of quiet_ms
+	maxShortMS    = 60_000    // maximum of quiet_ms and settle_ms: a minute
+	minLongMS     = 100       // minimum of hold_ms and step_ms
+	maxLongMS     = 3_600_000 // maximum of hold_ms, most_hold_ms and step_ms: an hour
+	quietFraction = 0.6       // fraction of the shortest latency objective; default of quiet_ms
 )
 
 // zoneHealthFile is the format of the zone health file (deploy/zones.toml). Times are in milliseconds.
 type zoneHealthFile struct {
-	// Zone is that of this proxy where the settings have no locality; the same file serves all proxies where they do.
+	// Zone is the zone of this proxy if the settings have no locality. If they have one, all proxies can use the same file.
 	Zone string `toml:"zone"`
-	// Zones are those that nodes may have; where none is named, those that discovery reports.
+	// Zones are the zones that nodes may have. If there are none, the zones of the settings apply, and
+	// if these have none either, nodes may have any zone.
 	Zones   []string     `toml:"zones"`
 	Regions []regionFile `toml:"region"`
 
@@ -43,7 +44,7 @@
 	Zones []string `toml:"zones"`
 }
 
-// readZoneHealthFile reads the zone health file of the proxy of that name.
+// readZoneHealthFile reads the zone health file for the proxy with the given name.
 func readZoneHealthFile(file, name string, proxySettings *settings.Settings) (*zonehealth.Settings, error) {
 	values := &zoneHealthFile{
 		ReportFraction: 0.2,
@@ -54,19 +55,19 @@
 		Standalone:     true,
 		Cooperative:    true,
 	}
-	var terms *zonehealth.Settings
+	var policy *zonehealth.Settings
 	err := readPolicyFile("zones", file, values, func() (err error) {
-		terms, err = values.terms(name, proxySettings)
+		policy, err = values.policy(name, proxySettings)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return terms, nil
+	return policy, nil
 }
 
-// terms checks the values, which may set a default that depends on the settings, and converts them.
-func (f *zoneHealthFile) terms(name string, proxySettings *settings.Settings) (*zonehealth.Settings, error) {
+// policy validates the values and converts them. It first sets the default of quiet_ms, which depends on the settings.
+func (f *zoneHealthFile) policy(name string, proxySettings *settings.Settings) (*zonehealth.Settings, error) {
 	shortest := shortestObjective[zonehealth.Time](proxySettings)
 	if f.QuietMS == 0 {
 		f.QuietMS = max(float64(shortest)/10*quietFraction, minQuietMS)
@@ -83,7 +84,7 @@
 		zone = f.Zone
 	}
 	if zone != "" && len(allowed) > 0 && !slices.Contains(allowed, zone) {
-		return nil, fmt.Errorf("zone: %q: none of those that nodes may have", zone)
+		return nil, fmt.Errorf("zone: %q: not one of the zones that nodes may have", zone)
 	}
 	regions, err := f.regions(allowed)
 	if err != nil {
@@ -107,7 +108,7 @@
 	}, nil
 }
 
-// checkRanges checks numbers in the order of the keys in the file's documentation.
+// checkRanges checks the ranges of the numbers, in the order of the keys in deploy/zones.toml.
 func (f *zoneHealthFile) checkRanges() error {
 	for _, number := range []struct {
 		key               string
@@ -127,7 +128,8 @@
 	return nil
 }
 
-// allowedZones returns the zones that nodes may have, empty if any: those of the file, or else of the settings.
+// allowedZones returns the zones that nodes may have: those of the file, or those of the settings if the file has none. It
+// is empty if all zones are allowed.
 func (f *zoneHealthFile) allowedZones(proxySettings *settings.Settings) ([]string, error) {
 	if len(f.Zones) == 0 {
 		var allowed []string
@@ -139,38 +141,39 @@
 	if len(proxySettings.Zones) > 0 {
 		for _, zone := range f.Zones {
 			if _, ok := proxySettings.Zones[zone]; !ok {
-				return nil, fmt.Errorf("zones: %q: none of the settings'", zone)
+				return nil, fmt.Errorf("zones: %q: not a zone of the settings", zone)
 			}
 		}
 	}
 	seen := map[string]bool{}
 	for _, zone := range f.Zones {
 		if zone == "" || len(zone) > maxZoneNameLength || seen[zone] {
-			return nil, fmt.Errorf("zones: %q: missing, too long or doubled", zone)
+			return nil, fmt.Errorf("zones: %q: empty, too long or duplicate", zone)
 		}
 		seen[zone] = true
 	}
 	return f.Zones, nil
 }
 
-// regions checks that names differ from one another and from zones, and that a zone is in one region at most.
+// regions validates and converts the regions. Their names must differ from one another and from the names of zones, and a
+// zone may be in at most one region.
 func (f *zoneHealthFile) regions(allowed []string) ([]zonehealth.Region, error) {
 	var regions []zonehealth.Region
 	regionNames, regionOfZone := map[string]bool{}, map[string]string{}
 	for i, region := range f.Regions {
 		if region.Name == "" || regionNames[region.Name] || slices.Contains(allowed, region.Name) {
-			return nil, fmt.Errorf("region[%d].name: %q: missing, doubled or a zone's", i, region.Name)
+			return nil, fmt.Errorf("region[%d].name: %q: empty, duplicate or the name of a zone", i, region.Name)
 		}
 		regionNames[region.Name] = true
 		if len(region.Zones) < minRegionZones {
-			return nil, fmt.Errorf("region[%d].zones: %s: fewer than two", i, region.Name)
+			return nil, fmt.Errorf("region[%d].zones: %s: fewer than two zones", i, region.Name)
 		}
 		for _, zone := range region.Zones {
 			if other, ok := regionOfZone[zone]; ok {
-				return nil, fmt.Errorf("region[%d].zones: %q: is in %s already", i, zone, other)
+				return nil, fmt.Errorf("region[%d].zones: %q: already in region %s", i, zone, other)
 			}
 			if len(allowed) > 0 && !slices.Contains(allowed, zone) {
-				return nil, fmt.Errorf("region[%d].zones: %q: no node may have it", i, zone)
+				return nil, fmt.Errorf("region[%d].zones: %q: not one of the zones that nodes may have", i, zone)
 			}
 			regionOfZone[zone] = region.Name
 		}
