--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -6,7 +6,7 @@
 	request   *requestState
 	endpoint  *endpointState
 	responded bool // the endpoint sent a response of any kind
-	late      bool // missed the latency objective
+	late      bool // timed out, or completed, missed or was canceled after 3/4 of the latency budget
 	// failedProbe means that an ejected endpoint did not respond, which is no sign of load on the others.
 	failedProbe bool
 }
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -3,7 +3,7 @@
 // admissionControl limits the attempts in flight at caches.
 type admissionControl struct {
 	capacity   float64 // number of this proxy's attempts in flight to which the caches respond in time
-	overloaded bool    // state that was last logged
+	overloaded bool    // overload state that was last logged
 }
 
 // originLimiter adapts the number of this proxy's concurrent attempts at the origin to the origin's latency
@@ -15,9 +15,9 @@
 	lowWater      float64 // half of the initial limit
 	lastGoodLimit float64 // limit at the latest completed response of the origin
 	inFlight      int
-	nextAttemptAt Time          // no attempt is sent before
+	nextAttemptAt Time          // time before which no attempt is sent
 	reducedAt     Time          // time of the latest reduction of limit
-	latency       movingAverage // mean latency of its responses, in units of Time
+	latency       movingAverage // mean latency of the origin's responses, in units of Time
 	constrained   bool          // whether the limit was last logged as below lowWater
 }
 
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -7,13 +7,13 @@
 	live        bool // the client still waits for a reply
 	streaming   bool // the reply has begun
 	unadmitted  bool // admission control has not decided on it yet
-	rejected    bool // by admission control
+	rejected    bool // admission control has rejected it
 	overQuota   bool // it exceeds the quota of its tenant
 	deadline    Time // latest time of the final reply
-	giveUpAt    Time // a response after this has no value
-	objectiveAt Time // a response after this misses the latency objective
-	nextCheckAt Time
-	heapIndex   int // index in deadlineHeap, -1: none
+	giveUpAt    Time // time after which a response has no value
+	objectiveAt Time // time after which a response misses the latency objective
+	nextCheckAt Time // time of its next check, as last set by setDeadline
+	heapIndex   int  // index in deadlineHeap, -1: none
 
 	needsOrigin bool // a cache missed, or it is a write
 	queued      bool // it waits for capacity at the origin
@@ -21,12 +21,12 @@
 	following   bool // it waits for another request's fetch
 	hasFollowed bool // it has waited for a fetch before
 
-	attempts         int // number of attempts sent
-	inFlight         int
-	endpoint         int // endpoint of the latest attempt, in flight or ended
-	attempt          int // number of that attempt
-	previousEndpoint int // endpoint of the attempt before that
-	sentAt           Time
+	attempts         int  // number of attempts sent
+	inFlight         int  // number of its attempts in flight
+	endpoint         int  // endpoint of the latest attempt, in flight or ended
+	attempt          int  // number of the latest attempt, from 0
+	previousEndpoint int  // endpoint of the attempt before the latest one
+	sentAt           Time // time at which an attempt was last sent
 	triedEndpoints   []int
 	wasReset         bool // the connection of its latest attempt was reset
 	missed           bool // its latest attempt was a cache miss
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -86,7 +86,7 @@
 
 // Request is a client request on arrival.
 type Request struct {
-	Route, Tenant    int // Tenant -1: none
+	Route, Tenant    int // indices of the route and of the tenant; Tenant -1: none
 	Key              uint64
 	HasKey           bool // Key is set; a request without a key may go to any cache
 	Write            bool
