--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -5,7 +5,7 @@
 	minCapacity         = 2
 	rejectionThreshold  = 0.9 // used fraction of the capacity above which requests are rejected at random
 	rejectionSlope      = 4
-	rejectionWeightSpan = 1.7  // minus the priority weight, which is 1 at most
+	rejectionWeightSpan = 1.7  // the priority weight, 1 at most, is subtracted from it
 	overloadEnd         = 0.5  // used fraction of the capacity below which the end of an overload is logged
 	minReduction        = 0.02 // fraction of the capacity removed by one response that signals overload
 	maxReduction        = 0.3
--- a/balancer/coalescing.go
+++ b/balancer/coalescing.go
@@ -13,7 +13,8 @@
 	return isFetched && leader != b.currentIndex
 }
 
-// follow makes the current request wait for the other request's fetch, at most half of the remaining time.
+// follow makes the current request wait for the other request's fetch, for at most half of the remaining
+// time.
 func (b *Balancer) follow() {
 	request := b.current
 	request.hasFollowed, request.following = true, true
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -39,7 +39,8 @@
 		noResponseTimeout: objective,
 		slowStart: slowStartConfig{
 			period: settings.SlowStart, initialFraction: settings.SlowStartInitialFraction,
-			overloadMultiple: settings.SlowStartOverloadMultiple, overloadWindow: max(settings.SlowStartOverloadWindow, 1),
+			overloadMultiple: settings.SlowStartOverloadMultiple,
+			overloadWindow:   max(settings.SlowStartOverloadWindow, 1),
 		},
 		self:                    settings.Self,
 		peerCount:               settings.PeerCount,
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -27,8 +27,8 @@
 	return b.applyRules()
 }
 
-// suspicion returns the probability, by the reports of peers, that an endpoint is silent. The endpoint is
-// skipped with this probability. It halves in twelve times the no-response timeout.
+// suspicion returns the probability that an endpoint is silent according to the reports of peers. The
+// endpoint is skipped with this probability, which halves in twelve times the no-response timeout.
 func (b *Balancer) suspicion(endpoint *endpointState) float64 {
 	return endpoint.suspicion * math.Exp2(-float64(b.now-endpoint.suspicionAt)/float64(12*b.noResponseTimeout))
 }
--- a/balancer/origin.go
+++ b/balancer/origin.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// reduce lowers the limit, once within the origin's latency objective.
+// reduce lowers the limit, at most once within the origin's latency objective.
 func (o *originLimiter) reduce(now Time) {
 	if now-o.reducedAt <= o.objective {
 		return
--- a/balancer/reason.go
+++ b/balancer/reason.go
@@ -1,11 +1,12 @@
 package balancer
 
-// Reason is why an attempt is sent or a request is rejected. Logs and metrics use the same text for it.
+// Reason is the reason for which an attempt is sent or a request is rejected. Logs and metrics use the same
+// text for it.
 type Reason uint8
 
 // Reasons of decisions.
 const (
-	// ReasonNone is the reason of decisions that need none.
+	// ReasonNone is the reason of decisions that have none.
 	ReasonNone Reason = iota
 	// ReasonFirst is a request's first attempt.
 	ReasonFirst
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -7,7 +7,7 @@
 
 const (
 	ringPointsPerEndpoint = 160 // for an endpoint of the reference weight; set by the design
-	// multiple of the mean number of this proxy's attempts in flight; set by the design
+	// multiple of the mean number of this proxy's attempts in flight per cache; set by the design
 	boundedLoadFactor = 2.0
 
 	// special values of Balancer.candidate, which otherwise is the index of an endpoint
@@ -77,7 +77,7 @@
 		!b.isExcluded(endpoint) && !b.slowStartLimited(endpoint)
 }
 
-// isSuspected returns true with the probability that an endpoint is silent by the reports of peers.
+// isSuspected returns true at random, with the probability that suspicion returns for the endpoint.
 func (b *Balancer) isSuspected(endpoint *endpointState) bool {
 	return endpoint.suspicion > 0 && b.random.draw() < b.suspicion(endpoint)
 }
--- a/balancer/ringpoints.go
+++ b/balancer/ringpoints.go
@@ -22,7 +22,7 @@
 // significant bits of their positions, so a cache that joins or leaves moves only points in the buckets of
 // its own points.
 type ring struct {
-	// sorted, as are the points of each; the number is a power of two, 0 for an empty ring
+	// in the order of their positions, the points of each sorted; a power of two of them, none for an empty ring
 	buckets         [][]ringPoint
 	shift           int     // right shift that gives the bucket of a position
 	size            int     // number of points
@@ -184,7 +184,7 @@
 	*bucket = append(*bucket, point)
 }
 
-// sortBucket uses insertion sort because a bucket contains few points.
+// sortBucket sorts the points of a bucket, by insertion because they are few.
 func sortBucket(bucket []ringPoint) {
 	for i := 1; i < len(bucket); i++ {
 		point, at := bucket[i], i
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -14,7 +14,7 @@
 	b.refillSlowStartBudget(endpoint, age)
 	consumed := min(endpoint.slowStartBudget, 1)
 	endpoint.slowStartBudget -= consumed
-	// a fraction of an attempt is an attempt with that probability
+	// a budget of less than one attempt allows an attempt with that probability
 	return b.random.draw() >= consumed
 }
 
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -23,7 +23,8 @@
 	updatedAt Time
 }
 
-// observe adds a sample. Its weight is the time since the previous one over span, within [minWeight, 1].
+// observe adds a sample. Its weight is the time since the previous one divided by span, limited to
+// [minWeight, 1].
 func (m *movingAverage) observe(now Time, value, minWeight float64, span Time) {
 	m.value += (value - m.value) * observationWeight(minWeight, now-m.updatedAt, span)
 	m.updatedAt = now
@@ -51,7 +52,7 @@
 	startedAt Time
 }
 
-// add counts more responses and returns the rate per second, corrected for the short time since startedAt.
+// add counts more responses and returns the rate per second, corrected if startedAt is recent.
 // Each call rounds, so calling it more or less often changes the last digits of the result.
 func (r *responseRate) add(now Time, more float64) float64 {
 	r.count = r.count*decay(now-r.updatedAt) + more
@@ -64,7 +65,7 @@
 	inFlight       int     // attempts of this proxy at caches
 	meanLatency    float64 // in units of Time, as is meanDeviation
 	meanDeviation  float64
-	samples        float64       // number of samples behind the two means, at most latencySamples
+	samples        float64       // number of samples in the two means, at most latencySamples
 	lateRate       movingAverage // fraction of late responses
 	errorRate      float64       // fraction of responses that are server errors
 	lastResponseAt Time
@@ -83,7 +84,8 @@
 func (s *cacheStatistics) observeLatency(latency Time) {
 	s.samples = min(s.samples+1, latencySamples)
 	s.meanLatency += (float64(latency) - s.meanLatency) / s.samples
-	s.meanDeviation += (math.Abs(float64(latency)-s.meanLatency) - s.meanDeviation) / max(s.samples, deviationSamples)
+	s.meanDeviation += (math.Abs(float64(latency)-s.meanLatency) - s.meanDeviation) /
+		max(s.samples, deviationSamples)
 }
 
 // cacheResponseRate returns the rate per second of the caches' responses to this proxy.
