--- a/balancer/scenario_test.go
+++ b/balancer/scenario_test.go
@@ -23,7 +23,8 @@
 //	MS rounds N FROM-TO ROUTE every=MS latency=MS
 //	                                     all requests arrive, are sent and completed, N times
 //	MS end REQUEST|FROM-TO OUTCOME [latency=MS] [answered] [at=ENDPOINT]
-//	                                     the latest attempt of the request ends, or that at an endpoint
+//	                                     the latest attempt of the request ends, or its attempt at the given endpoint;
+//	                                     answered: the client has the final reply to the request
 //	MS client-gone REQUEST | wake | list-failed | streaming REQUEST
 //	MS peer-report ENDPOINT silent|responds
 //	MS exclude ENDPOINT FRACTION [cancel]
