--- a/zonehealth/attempts.go
+++ b/zonehealth/attempts.go
@@ -51,7 +51,7 @@
 		e.addConnectFailure(n.hash)
 	}
 	if outcome == Cancelled && !n.overdue && elapsed < c.overdueTime() {
-		return // cancelled by its client or at its deadline, which is no evidence about the node
+		return // canceled by its client or at its deadline, which is no evidence about the node
 	}
 	e.counts.unanswered++
 	if !n.overdue { // an overdue attempt was counted when it became overdue
--- a/zonehealth/exclusion.go
+++ b/zonehealth/exclusion.go
@@ -23,16 +23,16 @@
 
 // applyServedFractions updates the served fraction of each zone and the exclusions of its nodes.
 func (c *Controller) applyServedFractions() {
-	noZoneServes, allOpen := c.noZoneServes(), true
+	noZoneServes, allServeFully := c.noZoneServes(), true
 	for _, z := range c.zones {
 		fraction := c.effectiveServedFraction(z)
 		if forcedOut := z.override.Mode == OverrideOut && z.override.Force; noZoneServes && !forcedOut {
 			fraction = 1 // evidence that all zones are lost is assumed to be wrong
 		}
 		c.setServedFraction(z, fraction)
-		allOpen = allOpen && z.servedFraction == 1
+		allServeFully = allServeFully && z.servedFraction == 1
 	}
-	if allOpen && c.excludedNodeCount == 0 {
+	if allServeFully && c.excludedNodeCount == 0 {
 		return // the usual case: no node is excluded, and none has to be
 	}
 	for i, n := range c.nodes {
--- a/zonehealth/fleet.go
+++ b/zonehealth/fleet.go
@@ -8,7 +8,7 @@
 const (
 	minVotes          = 2  // minimum number of required votes, however small the fleet
 	maxVotes          = 16 // maximum number of required votes, however large the fleet
-	maxVerdictBackers = 2  // peers acting on a verdict that are required to follow it, all reachable peers if fewer
+	maxVerdictBackers = 2  // peers that must act on a verdict before this proxy follows them; all reachable ones if fewer
 )
 
 // Proxy is a member of the fleet, as reported by replication.
@@ -76,7 +76,7 @@
 }
 
 // hasQuorum reports whether this proxy reaches a majority of the proxies outside a zone, which are the ones that vote on
-// it. A proxy that does not may itself be cut off.
+// it. A proxy that does not reach a majority may itself be cut off.
 func (c *Controller) hasQuorum(z *zone) bool {
 	return !c.fleet.catchingUp && z.outsideZone.known >= 2 && 2*z.outsideZone.reachable > z.outsideZone.known
 }
--- a/zonehealth/scenario_test.go
+++ b/zonehealth/scenario_test.go
@@ -211,21 +211,21 @@
 	s.controller.SetFleet(s.now, proxies, options["behind"] != "")
 }
 
-// attemptedNodes returns the indexes of the nodes to which the attempts of a line are sent in turn.
+// attemptedNodes returns the indices of the nodes to which the attempts of a line are sent in turn.
 func (s *scenario) attemptedNodes(zone string, options map[string]string) []int {
-	var indexes []int
+	var indices []int
 	for _, n := range s.nodes {
-		if n.Zone == zone && (options["nodes"] == "" || len(indexes) < integer(options["nodes"])) {
-			indexes = append(indexes, n.Index)
+		if n.Zone == zone && (options["nodes"] == "" || len(indices) < integer(options["nodes"])) {
+			indices = append(indices, n.Index)
 		}
 	}
-	return indexes
+	return indices
 }
 
 func (s *scenario) sendAttempts(words []string, options map[string]string) {
-	indexes := s.attemptedNodes(words[0], options)
+	indices := s.attemptedNodes(words[0], options)
 	for i := range integer(words[1]) {
-		s.controller.AttemptSent(s.now, indexes[i%len(indexes)])
+		s.controller.AttemptSent(s.now, indices[i%len(indices)])
 	}
 }
 
@@ -234,9 +234,9 @@
 	if options["took"] != "" {
 		elapsed = milliseconds(options["took"])
 	}
-	indexes := s.attemptedNodes(words[0], options)
+	indices := s.attemptedNodes(words[0], options)
 	for i := range integer(words[1]) {
-		index := indexes[i%len(indexes)]
+		index := indices[i%len(indices)]
 		if words[2] == "reached" {
 			s.controller.ConnectionOpened(index)
 			continue
