--- a/internal/settings/settings_golden_test.go
+++ b/internal/settings/settings_golden_test.go
@@ -225,7 +225,7 @@
 				err = errors.New("no error")
 			}
 			if err.Error() != c.want {
-				t.Errorf("%s: %q, want %q", c.to, err, c.want)
+				t.Errorf("%s: got error %q, want %q", c.to, err, c.want)
 			}
 		})
 	}
