--- a/recovery/endpointlist.go
+++ b/recovery/endpointlist.go
@@ -59,26 +59,26 @@
 // equal indexes, of which the configured one is selected.
 func SelectEndpointList(stored StoredEndpointList, configured EndpointList, now time.Time, maxAge time.Duration) Selection {
 	age := now.Sub(stored.SavedAt)
-	drained := drainedByStored(stored.EndpointList, configured)
+	draining := drainingByStored(stored.EndpointList, configured)
 	// These texts are part of the response to GET /control/recovery.
 	switch {
 	case age < 0:
-		return Selection{Draining: drained, Reason: fmt.Sprintf("saved %v in the future: only its drains apply", -age)}
+		return Selection{Draining: draining, Reason: fmt.Sprintf("saved %v in the future: only its drains apply", -age)}
 	case age > maxAge:
-		return Selection{Draining: drained, Reason: fmt.Sprintf("saved %v ago, over %v: only its drains apply",
+		return Selection{Draining: draining, Reason: fmt.Sprintf("saved %v ago, over %v: only its drains apply",
 			age.Round(time.Second), maxAge)}
 	case stored.Index > configured.Index:
 		return Selection{UseStored: true, Reason: fmt.Sprintf("stored %v ago at index %d, after the configuration's %d",
 			age.Round(time.Second), stored.Index, configured.Index)}
 	default:
-		return Selection{Draining: drained, Reason: fmt.Sprintf("stored %v ago at index %d, and the configuration has %d",
+		return Selection{Draining: draining, Reason: fmt.Sprintf("stored %v ago at index %d, and the configuration has %d",
 			age.Round(time.Second), stored.Index, configured.Index)}
 	}
 }
 
-// drainedByStored returns the names of the configured endpoints whose status is stricter in the stored list. It returns
+// drainingByStored returns the names of the configured endpoints whose status is stricter in the stored list. It returns
 // nil if the stored list has the lower index.
-func drainedByStored(stored, configured EndpointList) []string {
+func drainingByStored(stored, configured EndpointList) []string {
 	if stored.Index < configured.Index {
 		return nil
 	}
@@ -86,11 +86,11 @@
 	for _, endpoint := range stored.Endpoints {
 		storedStatus[endpoint.Name] = endpoint.Status
 	}
-	var drained []string
+	var draining []string
 	for _, endpoint := range configured.Endpoints {
 		if storedStatus[endpoint.Name] > endpoint.Status {
-			drained = append(drained, endpoint.Name)
+			draining = append(draining, endpoint.Name)
 		}
 	}
-	return drained
+	return draining
 }
--- a/recovery/endpointlist_test.go
+++ b/recovery/endpointlist_test.go
@@ -31,7 +31,7 @@
 		configuredIndex int64
 		configured      string
 		wantStored      bool
-		wantDrained     string
+		wantDraining    string
 	}{
 		{"stored list is newer", 9, "+a -b", time.Minute, 7, "+a +b", true, ""},
 		{"configured list is newer", 7, "+a -b", time.Minute, 9, "+a +b", false, ""},
@@ -43,9 +43,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			stored := StoredEndpointList{EndpointList: EndpointList{test.storedIndex, endpoints(t, test.stored)}, SavedAt: now.Add(-test.age)}
 			selection := SelectEndpointList(stored, EndpointList{test.configuredIndex, endpoints(t, test.configured)}, now, maxAge)
-			drained := strings.Join(selection.Draining, " ")
-			if selection.UseStored != test.wantStored || drained != test.wantDrained || selection.Reason == "" {
-				t.Errorf("got %+v, want UseStored %v, Draining %q and a reason", selection, test.wantStored, test.wantDrained)
+			draining := strings.Join(selection.Draining, " ")
+			if selection.UseStored != test.wantStored || draining != test.wantDraining || selection.Reason == "" {
+				t.Errorf("got %+v, want UseStored %v, Draining %q and a reason", selection, test.wantStored, test.wantDraining)
 			}
 		})
 	}
--- a/recovery/tracker.go
+++ b/recovery/tracker.go
@@ -26,9 +26,9 @@
 	changes []StageChange // made by the current call
 }
 
-// New returns a tracker in the first stage, StageStandalone. The parameters stored and drained are reported by
+// New returns a tracker in the first stage, StageStandalone. The parameters stored and draining are reported by
 // [Tracker.Status] as StoredList and DrainingEndpoints.
-func New(now Time, settings Settings, stored string, drained int) *Tracker {
+func New(now Time, settings Settings, stored string, draining int) *Tracker {
 	return &Tracker{
 		settings:   settings,
 		now:        now,
@@ -36,7 +36,7 @@
 		lastTick:   now,
 		stageStart: now,
 		catchingUp: settings.HasPeers,
-		status:     Status{Reason: "started", StoredList: stored, DrainingEndpoints: drained},
+		status:     Status{Reason: "started", StoredList: stored, DrainingEndpoints: draining},
 	}
 }
 
