--- a/internal/server/api_golden_test.go
+++ b/internal/server/api_golden_test.go
@@ -242,7 +242,7 @@
 	{
 		&rebalance.InventoryError{Path: "nodes[1]", Reason: "name \"a\" is missing or doubled"},
 		`{"type":"moves.InventoryError",` +
-			`"error":"nodes[1]: name \"a\" is missing or doubled; mend the inventory, nothing was planned",` +
+			`"error":"nodes[1]: name \"a\" is missing or doubled; correct the inventory, nothing was planned",` +
 			`"found":{"Where":"nodes[1]","What":"name \"a\" is missing or doubled"}}`,
 	},
 	{
--- a/rebalance/errors.go
+++ b/rebalance/errors.go
@@ -18,7 +18,7 @@
 func (e *InventoryError) TypeName() string { return "moves.InventoryError" }
 
 func (e *InventoryError) Error() string {
-	return fmt.Sprintf("%s: %s; mend the inventory, nothing was planned", e.Path, e.Reason)
+	return fmt.Sprintf("%s: %s; correct the inventory, nothing was planned", e.Path, e.Reason)
 }
 
 // Shortfall is the additional capacity in bytes that a node needs.
