--- a/rebalance/problem.go
+++ b/rebalance/problem.go
@@ -71,7 +71,7 @@
 	for i := range p.nodes {
 		node := &p.nodes[i]
 		if _, ok := p.nodeIndexes[node.Name]; ok || node.Name == "" {
-			return invalidEntry("nodes", i, "name %q is missing or doubled", node.Name)
+			return invalidEntry("nodes", i, "name %q is empty or a duplicate", node.Name)
 		}
 		// the negated condition also rejects NaN
 		if node.Capacity < 0 || !(node.Weight >= 0 && node.Weight < maxWeight) {
@@ -106,11 +106,11 @@
 	s := &p.shards[shard]
 	source, ok := p.resolveNode(s.Source)
 	if !ok {
-		return location{}, invalidEntry("shards", shard, "no node %q", s.Source)
+		return location{}, invalidEntry("shards", shard, "unknown node %q", s.Source)
 	}
 	required, ok := p.resolveNode(s.Target)
 	if !ok {
-		return location{}, invalidEntry("shards", shard, "no node %q", s.Target)
+		return location{}, invalidEntry("shards", shard, "unknown node %q", s.Target)
 	}
 	if s.Pinned {
 		if source == unplaced {
