--- a/internal/server/api_golden_test.go
+++ b/internal/server/api_golden_test.go
@@ -248,8 +248,8 @@
 	{
 		&rebalance.CapacityError{Shortfalls: []rebalance.Shortfall{{Node: "a", Bytes: 2}, {Node: "b", Bytes: 3}}, NeededBytes: 12, CapacityBytes: 10},
 		`{"type":"moves.RoomError",` +
-			`"error":"room: shards have 12 bytes, nodes that stay room for 10; lacking: a 2 bytes, b 3 bytes;` +
-			` give these so much more, or add a node",` +
+			`"error":"capacity: shards need 12 bytes, nodes that are not draining have 10;` +
+			` missing: a 2 bytes, b 3 bytes; add this capacity, or add a node",` +
 			`"found":{"Lacks":[{"node":"a","bytes":2},{"node":"b","bytes":3}],"Needed":12,"Room":10}}`,
 	},
 	{
--- a/rebalance/errors.go
+++ b/rebalance/errors.go
@@ -51,8 +51,8 @@
 func (e *CapacityError) TypeName() string { return "moves.RoomError" }
 
 func (e *CapacityError) Error() string {
-	return fmt.Sprintf("room: shards have %d bytes, nodes that stay room for %d; lacking: %s; "+
-		"give these so much more, or add a node", e.NeededBytes, e.CapacityBytes, formatShortfalls(e.Shortfalls))
+	return fmt.Sprintf("capacity: shards need %d bytes, nodes that are not draining have %d; "+
+		"missing: %s; add this capacity, or add a node", e.NeededBytes, e.CapacityBytes, formatShortfalls(e.Shortfalls))
 }
 
 // ShardPlacementError reports a shard that no node can store, or that is pinned to a node where it may not be.
