--- a/rebalance/errors.go
+++ b/rebalance/errors.go
@@ -68,10 +68,10 @@
 
 func (e *ShardPlacementError) Error() string {
 	if e.Pinned {
-		return fmt.Sprintf("shard %d: pinned to a node that it has to leave; take the pin off, or keep that node", e.ShardID)
+		return fmt.Sprintf("shard %d: pinned to a node where it may not stay; remove the pin, or let it stay", e.ShardID)
 	}
-	return fmt.Sprintf("shard %d: of %d bytes, and no node that it may be on has room for more than %d; "+
-		"give one as much, or let it into another zone", e.ShardID, e.Bytes, e.LargestCapacity)
+	return fmt.Sprintf("shard %d: has %d bytes, but no node that it may be on has a capacity of more than %d; "+
+		"increase the capacity of one, or allow another zone", e.ShardID, e.Bytes, e.LargestCapacity)
 }
 
 // BalanceError reports that loads can't be balanced within the slack.
