--- a/internal/server/api_golden_test.go
+++ b/internal/server/api_golden_test.go
@@ -268,13 +268,14 @@
 	{
 		&rebalance.BalanceError{Slack: 0.1, FeasibleSlack: 0.25},
 		`{"type":"moves.BalanceError",` +
-			`"error":"slack: 0.1: loads can't be so even; with 0.250 they can",` +
+			`"error":"slack: 0.1: loads can't be balanced within this slack; a slack of 0.250 is feasible",` +
 			`"found":{"Stated":0.1,"Needed":0.25}}`,
 	},
 	{
 		&rebalance.BalanceError{Slack: 0.1},
 		`{"type":"moves.BalanceError",` +
-			`"error":"slack: 0.1: loads can't be so even, nor with 1; take off pins or zones, or give nodes other weights",` +
+			`"error":"slack: 0.1: loads can't be balanced within this slack, nor within 1;` +
+			` remove pins or zones of shards, or change the weights of nodes",` +
 			`"found":{"Stated":0.1,"Needed":0}}`,
 	},
 	{
--- a/rebalance/errors.go
+++ b/rebalance/errors.go
@@ -85,10 +85,10 @@
 
 func (e *BalanceError) Error() string {
 	if e.FeasibleSlack > 0 {
-		return fmt.Sprintf("slack: %v: loads can't be so even; with %.3f they can", e.Slack, e.FeasibleSlack)
+		return fmt.Sprintf("slack: %v: loads can't be balanced within this slack; a slack of %.3f is feasible", e.Slack, e.FeasibleSlack)
 	}
-	return fmt.Sprintf("slack: %v: loads can't be so even, nor with 1; "+
-		"take off pins or zones, or give nodes other weights", e.Slack)
+	return fmt.Sprintf("slack: %v: loads can't be balanced within this slack, nor within 1; "+
+		"remove pins or zones of shards, or change the weights of nodes", e.Slack)
 }
 
 // ScheduleError reports that a placement was found, but no order of migrations that leads to it.
