--- a/internal/server/api_golden_test.go
+++ b/internal/server/api_golden_test.go
@@ -281,8 +281,8 @@
 	{
 		&rebalance.ScheduleError{PendingShards: 2, Shortfalls: []rebalance.Shortfall{{Node: "a", Bytes: 6}}},
 		`{"type":"moves.StuckError",` +
-			`"error":"order: 2 shards can't go on, since none has room to go first; lacking: a 6 bytes;` +
-			` so much more at one of these, or at any other node for the time of the moves, helps",` +
+			`"error":"order: 2 shards can't be migrated, since no node has capacity to receive one first; missing: a 6 bytes;` +
+			` add this capacity to one of these nodes, or to any other node until the migrations are done",` +
 			`"found":{"Shards":2,"Lacks":[{"node":"a","bytes":6}]}}`,
 	},
 	{
--- a/rebalance/errors.go
+++ b/rebalance/errors.go
@@ -101,7 +101,7 @@
 func (e *ScheduleError) TypeName() string { return "moves.StuckError" }
 
 func (e *ScheduleError) Error() string {
-	return fmt.Sprintf("order: %d shards can't go on, since none has room to go first; lacking: %s; "+
-		"so much more at one of these, or at any other node for the time of the moves, helps",
+	return fmt.Sprintf("order: %d shards can't be migrated, since no node has capacity to receive one first; missing: %s; "+
+		"add this capacity to one of these nodes, or to any other node until the migrations are done",
 		e.PendingShards, formatShortfalls(e.Shortfalls))
 }
