--- a/internal/server/rebalance.go
+++ b/internal/server/rebalance.go
@@ -29,7 +29,7 @@
 
 // Error returns the error in one line.
 func (e *PlannerBusyError) Error() string {
-	return fmt.Sprintf("%d plan is being made already; ask again once it is done", e.Limit)
+	return fmt.Sprintf("%d plan is being computed already; try again when it is done", e.Limit)
 }
 
 // migrationPlanner plans shard migrations for operators. Its methods may be called from any goroutine.
@@ -70,7 +70,7 @@
 		return nil, inventoryError(describeJSONError(err))
 	}
 	if len(decoded.Nodes) > maxInventoryNodes || len(decoded.Shards) > maxInventoryShards {
-		return nil, inventoryError(fmt.Sprintf("%d nodes and %d shards, over %d and %d",
+		return nil, inventoryError(fmt.Sprintf("%d nodes and %d shards, the limits are %d and %d",
 			len(decoded.Nodes), len(decoded.Shards), maxInventoryNodes, maxInventoryShards))
 	}
 	return &decoded, nil
