--- a/rebalance/errors.go
+++ b/rebalance/errors.go
@@ -85,7 +85,8 @@
 
 func (e *BalanceError) Error() string {
 	if e.FeasibleSlack > 0 {
-		return fmt.Sprintf("slack: %v: loads can't be balanced within this slack; a slack of %.3f is feasible", e.Slack, e.FeasibleSlack)
+		return fmt.Sprintf("slack: %v: loads can't be balanced within this slack; a slack of %.3f is feasible",
+			e.Slack, e.FeasibleSlack)
 	}
 	return fmt.Sprintf("slack: %v: loads can't be balanced within this slack, nor within 1; "+
 		"remove pins or zones of shards, or change the weights of nodes", e.Slack)
