--- a/duties/settings.go
+++ b/duties/settings.go
@@ -74,6 +74,5 @@
 
 // Error names the file and says how to configure peers.
 func (e *NoPeersError) Error() string {
-	return fmt.Sprintf("%s: proxies do not talk; name a file of peers as well (--peers FILE), or leave the file of turns out",
-		e.File)
+	return fmt.Sprintf("%s: duties need gossip; name a gossip file as well (--peers FILE), or omit the duties file", e.File)
 }
--- a/internal/server/toml_golden_test.go
+++ b/internal/server/toml_golden_test.go
@@ -259,7 +259,7 @@
 	files.peers = ""
 	_, err := readConfig(t, files, server.Config{})
 	expectError(t, "turns without peers", err,
-		"turns: turns.toml: proxies do not talk; name a file of peers as well (--peers FILE), or leave the file of turns out")
+		"turns: turns.toml: duties need gossip; name a gossip file as well (--peers FILE), or omit the duties file")
 }
 
 func TestMovesFileBadInputs(t *testing.T) {
@@ -304,8 +304,8 @@
 	files := missingTOML.files(t, noKeys)
 	files.peers = ""
 	_, err := readConfig(t, files, server.Config{})
-	expectError(t, "missing keys without peers", err, "missing: missing.toml: 7 proxies may write, and they do not talk; "+
-		"name a file of peers as well (--peers FILE), or leave the file of missing keys out")
+	expectError(t, "missing keys without peers", err, "missing: missing.toml: 7 proxies may write, but there is no gossip "+
+		"between them; name a gossip file as well (--peers FILE), or omit the negative cache file")
 }
 
 // TestPeersFileOfConfigBadInputs checks the errors for a gossip file with an unknown key, and for one whose address is used
--- a/negativecache/settings.go
+++ b/negativecache/settings.go
@@ -45,6 +45,6 @@
 
 // Error names the file and says how to configure peers. Operators see the text.
 func (e *NoPeersError) Error() string {
-	return fmt.Sprintf("%s: %d proxies may write, and they do not talk; "+
-		"name a file of peers as well (--peers FILE), or leave the file of missing keys out", e.File, e.Proxies)
+	return fmt.Sprintf("%s: %d proxies may write, but there is no gossip between them; "+
+		"name a gossip file as well (--peers FILE), or omit the negative cache file", e.File, e.Proxies)
 }
