--- a/cmd/woodproxy/process_golden_test.go
+++ b/cmd/woodproxy/process_golden_test.go
@@ -608,8 +608,8 @@
 	goldentest.Text(t, "process_without_parts.golden", all.String())
 	for _, subcommand := range []string{"peers", "zones"} {
 		text, err := exec.Command(p.program, subcommand, p.management).CombinedOutput()
-		if want := "woodproxy: no file of " + subcommand + " is named\n"; err == nil || string(text) != want {
-			t.Errorf("%s subcommand: got %q (%v), want the error that no file is named", subcommand, text, err)
+		if want := "woodproxy: no --" + subcommand + " file is configured\n"; err == nil || string(text) != want {
+			t.Errorf("%s subcommand: got %q (%v), want the error that no file is configured", subcommand, text, err)
 		}
 	}
 	p.stop(t)
--- a/internal/admin/plan.go
+++ b/internal/admin/plan.go
@@ -21,7 +21,7 @@
 		case err != nil:
 			writeJSON(w, http.StatusConflict, newErrorResponse(err))
 		case plan == nil:
-			writeJSON(w, http.StatusNotFound, errorResponse{Message: "no file of moves is named"})
+			writeJSON(w, http.StatusNotFound, errorResponse{Message: "no --moves file is configured"})
 		default:
 			writeJSON(w, http.StatusOK, plan)
 		}
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -12,11 +12,11 @@
 func routes(service Service) []route {
 	return []route{
 		{"GET /control/ready", readiness(service)},
-		{"GET /control/peers", textStatus(service.PeerStatus, "no file of peers is named")},
-		{"GET /control/zones", textStatus(service.ZoneStatus, "no file of zones is named")},
-		{"GET /control/turns", jsonStatus(service.DutyStatus, "no file of turns is named")},
-		{"GET /control/recovery", jsonStatus(service.RecoveryStatus, "neither state nor peers are named")},
-		{"GET /control/missing", jsonStatus(service.NegativeCacheStatus, "no file of missing keys is named")},
+		{"GET /control/peers", textStatus(service.PeerStatus, "no --peers file is configured")},
+		{"GET /control/zones", textStatus(service.ZoneStatus, "no --zones file is configured")},
+		{"GET /control/turns", jsonStatus(service.DutyStatus, "no --turns file is configured")},
+		{"GET /control/recovery", jsonStatus(service.RecoveryStatus, "neither --state nor --peers is configured")},
+		{"GET /control/missing", jsonStatus(service.NegativeCacheStatus, "no --missing file is configured")},
 		{"GET /metrics", service.Metrics()},
 		{"POST /control/missing/forget", clearNegativeCache(service)},
 		{"POST /control/moves/plan", planMigrations(service)},
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -10,7 +10,7 @@
 )
 
 var (
-	errNegativeCacheOff  = errors.New("no file of missing keys is named")
+	errNegativeCacheOff  = errors.New("no --missing file is configured")
 	errNegativeCacheBusy = errors.New("too busy to clear the negative cache; try again")
 )
 
--- a/internal/server/zonehealth.go
+++ b/internal/server/zonehealth.go
@@ -24,7 +24,7 @@
 	maxReportersShown = 8   // maximum number of unhealthy voters in the status of a zone
 )
 
-var errZoneHealthOff = errors.New("zones are not judged: no file of zones is named")
+var errZoneHealthOff = errors.New("zone health is off: no --zones file is configured")
 
 // zoneHealthAdapter exchanges reports on zones and operators' overrides with the other proxies, and handles operators'
 // calls that concern zones. A nil adapter is valid if zones are not evacuated: its receiving methods do nothing, override
