--- a/internal/admin/commands.go
+++ b/internal/admin/commands.go
@@ -78,7 +78,7 @@
 	}
 	epoch, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || epoch < 0 {
-		return 0, fmt.Errorf("epoch: %q: no number of an order", text)
+		return 0, fmt.Errorf("epoch: %q: not a valid epoch", text)
 	}
 	return epoch, nil
 }
--- a/internal/admin/commands_test.go
+++ b/internal/admin/commands_test.go
@@ -15,9 +15,9 @@
 		{name: "empty", query: "epoch=", want: anyEpoch},
 		{name: "zero", query: "epoch=0", want: 0},
 		{name: "number", query: "epoch=17", want: 17},
-		{name: "negative", query: "epoch=-1", message: `epoch: "-1": no number of an order`},
-		{name: "not a number", query: "epoch=x", message: `epoch: "x": no number of an order`},
-		{name: "too large", query: "epoch=9223372036854775808", message: `epoch: "9223372036854775808": no number of an order`},
+		{name: "negative", query: "epoch=-1", message: `epoch: "-1": not a valid epoch`},
+		{name: "not a number", query: "epoch=x", message: `epoch: "x": not a valid epoch`},
+		{name: "too large", query: "epoch=9223372036854775808", message: `epoch: "9223372036854775808": not a valid epoch`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := parseEpoch(parseQuery(t, c.query))
