--- a/internal/server/api_golden_test.go
+++ b/internal/server/api_golden_test.go
@@ -156,7 +156,7 @@
 	{"forget", fixedService{}, "POST", "/control/missing/forget", ""},
 	{
 		"forget refused",
-		fixedService{clearErr: errors.New("too busy to take it; ask again")},
+		fixedService{clearErr: errors.New("too busy to clear the negative cache; try again")},
 		"POST", "/control/missing/forget", "",
 	},
 	{"forget by the wrong method", fixedService{}, "GET", "/control/missing/forget", ""},
