--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -132,7 +132,7 @@
 		}
 	}
 	if c.Management == c.Listen {
-		return fmt.Errorf("configuration: management: the address of listen: %q", c.Management)
+		return fmt.Errorf("configuration: management: same address as listen: %q", c.Management)
 	}
 	if c.Sockets < minSockets {
 		return fmt.Errorf("configuration: limits.sockets: fewer than %d", minSockets)
@@ -170,7 +170,7 @@
 	}
 	for _, address := range [...]string{c.Listen, c.Management, c.Discovery} {
 		if address == c.Gossip.Listen {
-			return fmt.Errorf("peers: %s: listen: the address of another listener: %q", c.GossipFile, address)
+			return fmt.Errorf("peers: %s: listen: same address as another listener: %q", c.GossipFile, address)
 		}
 	}
 	// The balancer has a single peer, which represents all other proxies: gossip distributes its notifications.
--- a/internal/server/config_golden_test.go
+++ b/internal/server/config_golden_test.go
@@ -183,7 +183,7 @@
 		{`127.0.0.32:6432`, `nowhere`, `configuration: discovery: no address and port: "nowhere"`},
 		{`"management": "127.0.0.33:6433"`, `"management": true`, "configuration: management: mistyped"},
 		{`127.0.0.33:6433`, `here`, `configuration: management: no address and port: "here"`},
-		{`127.0.0.33:6433`, `127.0.0.31:6431`, `configuration: management: the address of listen: "127.0.0.31:6431"`},
+		{`127.0.0.33:6433`, `127.0.0.31:6431`, `configuration: management: same address as listen: "127.0.0.31:6431"`},
 		{`"seed": "deadbeefcafef00d"`, `"seed": 7`, "configuration: seed: mistyped"},
 		{`deadbeefcafef00d`, `xyz`, "configuration: seed: mistyped"},
 		{`deadbeefcafef00d`, `1deadbeefcafef00d`, "configuration: seed: mistyped"},
--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -24,7 +24,7 @@
 	{`127.0.0.1:2`, `nowhere`, "discovery: no address"},
 	{`"new":1`, `"management":7`, "management: mistyped"},
 	{`"new":1`, `"management":"here"`, "management: no address"},
-	{`"new":1`, `"management":"127.0.0.1:1"`, "management: the address of listen"},
+	{`"new":1`, `"management":"127.0.0.1:1"`, "management: same address as listen"},
 	{`"seed":"8c1f"`, `"seed":"xyz"`, "seed: mistyped"},
 	{`"cores":1.5`, `"cores":"many"`, "limits.cores: mistyped"},
 	{`"cores":1.5`, `"sockets":9`, "limits.sockets"},
--- a/internal/server/toml_golden_test.go
+++ b/internal/server/toml_golden_test.go
@@ -316,7 +316,7 @@
 		t.Run(address, func(t *testing.T) {
 			files := configFiles{config: config, peers: replaceIn(t, peers, "127.0.0.3:7001", address)}
 			_, err := readConfig(t, files, server.Config{})
-			expectError(t, address, err, `peers: peers.toml: listen: the address of another listener: "`+address+`"`)
+			expectError(t, address, err, `peers: peers.toml: listen: same address as another listener: "`+address+`"`)
 		})
 	}
 	_, err := readConfig(t, configFiles{config: config, peers: replaceIn(t, peers, "cluster", "fleet")}, server.Config{})
