--- a/internal/proxy/reason_counters.go
+++ b/internal/proxy/reason_counters.go
@@ -35,7 +35,7 @@
 		f(ReasonCount{"client_connections_closed", "Client connections that ended, by reason.", "reason", closeReason(i).String(), count})
 	})
 	for i := range invariant.Invariant(invariant.NumInvariants) {
-		f(ReasonCount{"invariant_violations", "Promises that were broken.", "invariant", i.String(), c.Invariants.Count(i)})
+		f(ReasonCount{"invariant_violations", "Invariant violations, by invariant.", "invariant", i.String(), c.Invariants.Count(i)})
 	}
 }
 
