--- a/internal/configfile/range.go
+++ b/internal/configfile/range.go
@@ -11,7 +11,7 @@
 
 // Error returns a line with the key, the value and the range.
 func (e *RangeError) Error() string {
-	return fmt.Sprintf("%s: %v: not from %v to %v; give it a figure within, or leave the line out for the usual one",
+	return fmt.Sprintf("%s: %v: not from %v to %v; set a value in this range, or omit the line to use the default",
 		e.Key, e.Value, e.Min, e.Max)
 }
 
