--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// clientUntil returns the time until which the client waits, or the zero time if it is not known.
-func (r *request) clientUntil(clock Clock) time.Time {
+// clientDeadline returns the time until which the client waits, or the zero time if it is not known.
+func (r *request) clientDeadline(clock Clock) time.Time {
 	if r.receivedAt == 0 {
 		return time.Time{}
 	}
--- a/internal/proxy/upstream_roundtrip.go
+++ b/internal/proxy/upstream_roundtrip.go
@@ -102,7 +102,7 @@
 		EndpointDraining: router.clock.instantOf(u.host.notReadySince.Load()),
 		DedupWindowEnd:   router.dedupWindowEnd(attempt),
 		SentDeadline:     now.Add(time.Duration(u.sentWaitMS) * time.Millisecond),
-		ClientDeadline:   attempt.request.clientUntil(router.clock),
+		ClientDeadline:   attempt.request.clientDeadline(router.clock),
 	})
 }
 
