--- a/internal/server/api_golden_test.go
+++ b/internal/server/api_golden_test.go
@@ -274,8 +274,7 @@
 	{
 		&rebalance.BalanceError{Slack: 0.1},
 		`{"type":"moves.BalanceError",` +
-			`"error":"slack: 0.1: loads can't be balanced within this slack, nor within 1;` +
-			` remove pins or zones of shards, or change the weights of nodes",` +
+			`"error":"slack: 0.1: loads can't be balanced, even with a slack of 1; remove pins or zones, or change node weights",` +
 			`"found":{"Stated":0.1,"Needed":0}}`,
 	},
 	{
--- a/rebalance/errors.go
+++ b/rebalance/errors.go
@@ -88,8 +88,8 @@
 		return fmt.Sprintf("slack: %v: loads can't be balanced within this slack; a slack of %.3f is feasible",
 			e.Slack, e.FeasibleSlack)
 	}
-	return fmt.Sprintf("slack: %v: loads can't be balanced within this slack, nor within 1; "+
-		"remove pins or zones of shards, or change the weights of nodes", e.Slack)
+	return fmt.Sprintf("slack: %v: loads can't be balanced, even with a slack of 1; "+
+		"remove pins or zones, or change node weights", e.Slack)
 }
 
 // ScheduleError reports that a placement was found, but no order of migrations that leads to it.
