--- a/internal/emulator/absence_check.go
+++ b/internal/emulator/absence_check.go
@@ -21,14 +21,14 @@
 }
 
 // observeAbsent checks an answer that there is no such key to a request that was asked at a moment.
-func (a *absenceCheck) observeAbsent(e Event, askedAt time.Duration) {
+func (a *absenceCheck) observeAbsent(e Event, sentAt time.Duration) {
 	key, limit := a.keys[e.RequestID], a.scenario.maxAbsentStaleness()
 	written, ok := a.firstWritten[key]
 	if !ok && hashedFloat("missing", key) >= a.scenario.NegativeCache.AbsentPart {
 		a.violate(FreshAbsenceRule, e, "key %s of request %s was always there, and is called missing", key, e.RequestID)
 		return
 	}
-	staleness := askedAt - written
+	staleness := sentAt - written
 	if !ok || staleness <= 0 {
 		return
 	}
--- a/internal/emulator/absent_keys.go
+++ b/internal/emulator/absent_keys.go
@@ -19,7 +19,7 @@
 		switch {
 		case e.Kind == KeyAbsent:
 			report.AbsentLookupsPerSecond++
-		case e.Kind == AnswerReceived && e.Node == noSuchKey:
+		case e.Kind == ReplyReceived && e.Node == noSuchKey:
 			report.AbsentAnswersPerSecond++
 		}
 	}
--- a/internal/emulator/answer_check.go
+++ b/internal/emulator/answer_check.go
@@ -4,26 +4,26 @@
 	"time"
 )
 
-// answerCheck checks FinalAnswerRule.
-type answerCheck struct {
+// replyCheck checks FinalAnswerRule.
+type replyCheck struct {
 	*findings
 	processes *processHistory
 	routes    map[string]Route // by request
-	lastAsked map[string]Event // by request
-	count     map[string]int   // of answers, by request
+	lastSent map[string]Event // by request
+	replyCount     map[string]int   // of answers, by request
 	abandoned map[string]bool  // requests whose client left, or whose connection was closed and not asked again
 	forwarded map[string]bool  // requests of which an attempt has arrived somewhere
-	last      time.Duration    // time of the latest event
+	lastEventAt      time.Duration    // time of the latest event
 }
 
-func (a *answerCheck) observeAsked(e Event) {
-	a.lastAsked[e.RequestID] = e
+func (a *replyCheck) observeRequest(e Event) {
+	a.lastSent[e.RequestID] = e
 	delete(a.abandoned, e.RequestID)
 }
 
 // observeClosed counts one violation for each request.
-func (a *answerCheck) observeClosed(e Event) {
-	if a.abandoned[e.RequestID] || a.count[e.RequestID] > 0 || e.Note == noteReused || a.processes.wasKilled(e.Proxy, e.At-killWindow, e.At+killWindow) {
+func (a *replyCheck) observeClosed(e Event) {
+	if a.abandoned[e.RequestID] || a.replyCount[e.RequestID] > 0 || e.Note == noteReused || a.processes.wasKilled(e.Proxy, e.At-killWindow, e.At+killWindow) {
 		return
 	}
 	a.abandoned[e.RequestID] = true
@@ -33,13 +33,13 @@
 	a.violate(FinalAnswerRule, e, "proxy %d ended the connection under request %s", e.Proxy, e.RequestID)
 }
 
-// observeAnswer reports whether it is the first answer to a request that was asked.
-func (a *answerCheck) observeAnswer(e Event) bool {
-	if a.count[e.RequestID]++; a.count[e.RequestID] > 1 {
-		a.violate(FinalAnswerRule, e, "request %s was answered %d times", e.RequestID, a.count[e.RequestID])
+// observeReply reports whether it is the first answer to a request that was asked.
+func (a *replyCheck) observeReply(e Event) bool {
+	if a.replyCount[e.RequestID]++; a.replyCount[e.RequestID] > 1 {
+		a.violate(FinalAnswerRule, e, "request %s was answered %d times", e.RequestID, a.replyCount[e.RequestID])
 		return false
 	}
-	asked, ok := a.lastAsked[e.RequestID]
+	asked, ok := a.lastSent[e.RequestID]
 	if !ok {
 		a.violate(FinalAnswerRule, e, "request %s was answered and never asked", e.RequestID)
 		return false
@@ -52,10 +52,10 @@
 }
 
 // checkUnanswered looks at the end for requests that had their whole timeout and no answer.
-func (a *answerCheck) checkUnanswered() {
-	for id, e := range a.lastAsked {
+func (a *replyCheck) checkUnanswered() {
+	for id, e := range a.lastSent {
 		end := e.At + millis(a.routes[id].TimeoutMS) + timingSlack
-		if a.count[id] > 0 || a.abandoned[id] || a.last < end {
+		if a.replyCount[id] > 0 || a.abandoned[id] || a.lastEventAt < end {
 			continue
 		}
 		if !a.processes.wasKilled(e.Proxy, e.At-killWindow, end) && !a.processes.wasPaused(e.Proxy, e.At, end) {
--- a/internal/emulator/attempt_check.go
+++ b/internal/emulator/attempt_check.go
@@ -13,38 +13,38 @@
 	*findings
 	processes *processHistory
 	routes    map[string]Route         // by request
-	asked     map[string]time.Duration // by request, when its client last sent it
-	ended     map[string]time.Duration // by request, when its client left or had its answer
-	// delayed is set where links hold back what is on its way: when an attempt arrives does not tell when it began.
-	delayed bool
+	sentAt     map[string]time.Duration // by request, when its client last sent it
+	endedAt     map[string]time.Duration // by request, when its client left or had its answer
+	// linksDelayed is set where links hold back what is on its way: when an attempt arrives does not tell when it began.
+	linksDelayed bool
 }
 
-func (a *attemptCheck) observeAsked(e Event) {
-	a.asked[e.RequestID] = e.At
-	delete(a.ended, e.RequestID)
+func (a *attemptCheck) observeRequest(e Event) {
+	a.sentAt[e.RequestID] = e.At
+	delete(a.endedAt, e.RequestID)
 }
 
 func (a *attemptCheck) observeEnd(e Event) {
-	if _, ended := a.ended[e.RequestID]; !ended {
-		a.ended[e.RequestID] = e.At
+	if _, ended := a.endedAt[e.RequestID]; !ended {
+		a.endedAt[e.RequestID] = e.At
 	}
 }
 
 func (a *attemptCheck) observeArrival(e Event) {
-	if a.delayed {
+	if a.linksDelayed {
 		return
 	}
-	if end, ended := a.ended[e.RequestID]; ended && !a.processes.wasPaused(e.Proxy, end, e.At) {
-		if late := e.At - end; late > lateAttemptGrace+timingSlack {
-			a.violate(LateAttemptRule, e, "node %s took an attempt of request %s %v after its end", e.Node, e.RequestID, late)
+	if end, ended := a.endedAt[e.RequestID]; ended && !a.processes.wasPaused(e.Proxy, end, e.At) {
+		if delay := e.At - end; delay > lateAttemptGrace+timingSlack {
+			a.violate(LateAttemptRule, e, "node %s took an attempt of request %s %v after its end", e.Node, e.RequestID, delay)
 		}
 	}
-	asked, known := a.asked[e.RequestID]
+	sentAt, known := a.sentAt[e.RequestID]
 	route := a.routes[e.RequestID]
-	if !known || route.TimeoutMS == 0 || a.processes.wasPaused(e.Proxy, asked, e.At) {
+	if !known || route.TimeoutMS == 0 || a.processes.wasPaused(e.Proxy, sentAt, e.At) {
 		return
 	}
-	excess := e.At + millis(e.Figure) - (asked + millis(route.TimeoutMS))
+	excess := e.At + millis(e.Figure) - (sentAt + millis(route.TimeoutMS))
 	if excess > toldDeadlineSlack+timingSlack {
 		a.violate(ToldDeadlineRule, e, "node %s was told %.0f ms for request %s, %v more than its client waits", e.Node, e.Figure, e.RequestID, excess)
 	}
--- a/internal/emulator/bad_clients.go
+++ b/internal/emulator/bad_clients.go
@@ -78,7 +78,7 @@
 
 const (
 	burstRequests = 40
-	maxBurstStay  = 30 * time.Millisecond
+	maxBurstDuration  = 30 * time.Millisecond
 )
 
 // sendBurst is a client that sends many requests at once and leaves a moment later, without reading.
@@ -98,7 +98,7 @@
 		commands = append(commands, command.encode(ids[i])...)
 	}
 	_, _ = conn.Write(commands) // it leaves in any case
-	time.Sleep(maxBurstStay * time.Duration(number%4) / 4)
+	time.Sleep(maxBurstDuration * time.Duration(number%4) / 4)
 	_ = conn.Close() // nothing more is expected of it
 	for _, id := range ids {
 		r.log.Record(Event{Kind: ClientLeft, RequestID: id, Proxy: proxy})
--- a/internal/emulator/drain_check.go
+++ b/internal/emulator/drain_check.go
@@ -8,21 +8,21 @@
 type drainCheck struct {
 	*findings
 	processes *processHistory
-	since     map[proxyNode]time.Duration // when a proxy was notified of a drain that lasts
+	drainingSince     map[proxyNode]time.Duration // when a proxy was notified of a drain that lasts
 	grace     time.Duration
 }
 
 func (d *drainCheck) observeDelivery(e Event) {
 	node := proxyNode{e.Proxy, e.Node}
 	if e.Note == statusActive {
-		delete(d.since, node)
-	} else if _, draining := d.since[node]; !draining {
-		d.since[node] = e.At
+		delete(d.drainingSince, node)
+	} else if _, draining := d.drainingSince[node]; !draining {
+		d.drainingSince[node] = e.At
 	}
 }
 
 func (d *drainCheck) observeArrival(e Event) {
-	since, draining := d.since[proxyNode{e.Proxy, e.Node}]
+	since, draining := d.drainingSince[proxyNode{e.Proxy, e.Node}]
 	if !draining {
 		return
 	}
--- a/internal/emulator/eventlog.go
+++ b/internal/emulator/eventlog.go
@@ -12,7 +12,7 @@
 // Kinds of events.
 const (
 	RequestSent      EventKind = "asked"    // a client has written a whole request
-	AnswerReceived   EventKind = "answered" // a client has a final answer: Note is the outcome, MadeFor the request that its value was made for
+	ReplyReceived   EventKind = "answered" // a client has a final answer: Note is the outcome, MadeFor the request that its value was made for
 	ConnectionClosed EventKind = "closed"   // a connection ended during a request
 	ClientLeft       EventKind = "went"     // a client left before the answer
 	AttemptReceived  EventKind = "took"     // a node has received a whole attempt
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -91,7 +91,7 @@
 	for _, e := range events {
 		c.observe(e)
 	}
-	c.answers.checkUnanswered()
+	c.replies.checkUnanswered()
 	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	for i, v := range c.violations {
 		if v.ID != "" {
@@ -117,7 +117,7 @@
 // checker checks all rules, one event after the other.
 type checker struct {
 	*findings
-	answers   answerCheck
+	replies   replyCheck
 	attempts  attemptCheck
 	process   processCheck
 	absence   absenceCheck
@@ -135,18 +135,18 @@
 	found := &findings{}
 	return &checker{
 		findings: found,
-		answers: answerCheck{
-			findings: found, processes: processes, routes: routes, lastAsked: map[string]Event{}, count: map[string]int{},
+		replies: replyCheck{
+			findings: found, processes: processes, routes: routes, lastSent: map[string]Event{}, replyCount: map[string]int{},
 			abandoned: map[string]bool{}, forwarded: map[string]bool{},
 		},
 		attempts: attemptCheck{
-			findings: found, processes: processes, routes: routes, asked: map[string]time.Duration{}, ended: map[string]time.Duration{},
-			delayed: scenario.delaysLinks(),
+			findings: found, processes: processes, routes: routes, sentAt: map[string]time.Duration{}, endedAt: map[string]time.Duration{},
+			linksDelayed: scenario.delaysLinks(),
 		},
 		process: processCheck{findings: found, processes: processes, nodes: scenario.Fleet.Nodes},
 		absence: absenceCheck{findings: found, processes: processes, scenario: scenario, keys: keys, firstWritten: map[string]time.Duration{}},
-		effects: effectCheck{findings: found, processes: processes, runs: map[string]int{}, killed: map[string]int{}},
-		drains:  drainCheck{findings: found, processes: processes, since: map[proxyNode]time.Duration{}, grace: scenario.drainGrace()},
+		effects: effectCheck{findings: found, processes: processes, executions: map[string]int{}, kills: map[string]int{}},
+		drains:  drainCheck{findings: found, processes: processes, drainingSince: map[proxyNode]time.Duration{}, grace: scenario.drainGrace()},
 		slowStart: slowStartCheck{
 			findings: found, fleet: scenario.Fleet, begins: map[string]Event{}, arrivals: map[string][]arrival{},
 			startKnown: map[proxyNode]bool{}, overloaded: map[string]bool{},
@@ -156,21 +156,21 @@
 }
 
 func (c *checker) observe(e Event) {
-	c.answers.last = e.At
+	c.replies.lastEventAt = e.At
 	switch e.Kind {
 	case RequestSent:
-		c.answers.observeAsked(e)
-		c.attempts.observeAsked(e)
-	case AnswerReceived:
-		c.observeAnswer(e)
+		c.replies.observeRequest(e)
+		c.attempts.observeRequest(e)
+	case ReplyReceived:
+		c.observeReply(e)
 	case ClientLeft:
-		c.answers.abandoned[e.RequestID] = true
+		c.replies.abandoned[e.RequestID] = true
 		c.attempts.observeEnd(e)
 	case ConnectionClosed:
-		c.answers.observeClosed(e)
+		c.replies.observeClosed(e)
 		c.effects.observeClosed(e)
 	case AttemptReceived:
-		c.answers.forwarded[e.RequestID] = true
+		c.replies.forwarded[e.RequestID] = true
 		c.attempts.observeArrival(e)
 		c.drains.observeArrival(e)
 		c.slowStart.observeArrival(e)
@@ -194,15 +194,15 @@
 	}
 }
 
-func (c *checker) observeAnswer(e Event) {
+func (c *checker) observeReply(e Event) {
 	c.attempts.observeEnd(e)
-	if !c.answers.observeAnswer(e) {
+	if !c.replies.observeReply(e) {
 		return
 	}
 	completed := e.Note == string(Completed)
 	switch {
 	case completed && e.Node == noSuchKey:
-		c.absence.observeAbsent(e, c.answers.lastAsked[e.RequestID].At)
+		c.absence.observeAbsent(e, c.replies.lastSent[e.RequestID].At)
 	case completed && e.MadeFor != e.RequestID:
 		c.violate(OwnValueRule, e, "request %s was answered with a value made for %q", e.RequestID, e.MadeFor)
 	}
--- a/internal/emulator/invariants_test.go
+++ b/internal/emulator/invariants_test.go
@@ -9,50 +9,50 @@
 )
 
 // event returns an event of the first proxy at a number of milliseconds.
-func event(atMS int, what emulator.EventKind, id, node, note string) emulator.Event {
-	return emulator.Event{At: time.Duration(atMS) * time.Millisecond, Kind: what, RequestID: id, Node: node, Note: note, MadeFor: id, Proxy: 0}
+func event(atMS int, kind emulator.EventKind, id, node, note string) emulator.Event {
+	return emulator.Event{At: time.Duration(atMS) * time.Millisecond, Kind: kind, RequestID: id, Node: node, Note: note, MadeFor: id, Proxy: 0}
 }
 
 // Shorter forms of event, for the read "a", the write "w" and the caches c1 and c2.
 
-func asked(atMS int) emulator.Event { return event(atMS, emulator.RequestSent, "a", "", "") }
+func requestSent(atMS int) emulator.Event { return event(atMS, emulator.RequestSent, "a", "", "") }
 
-func answered(atMS int, note string) emulator.Event {
-	return event(atMS, emulator.AnswerReceived, "a", "", note)
+func replyReceived(atMS int, note string) emulator.Event {
+	return event(atMS, emulator.ReplyReceived, "a", "", note)
 }
 
-func absent(atMS int) emulator.Event {
-	return event(atMS, emulator.AnswerReceived, "a", "none", "completed")
+func absentReply(atMS int) emulator.Event {
+	return event(atMS, emulator.ReplyReceived, "a", "none", "completed")
 }
 
-func ended(atMS int, note string) emulator.Event {
+func processEnded(atMS int, note string) emulator.Event {
 	return event(atMS, emulator.ProcessEnded, "", "", note)
 }
 
-func paused(atMS int, note string) emulator.Event {
+func processPaused(atMS int, note string) emulator.Event {
 	return event(atMS, emulator.ProcessPaused, "", "", note)
 }
 
-func took(atMS int, node string) emulator.Event {
+func commandReceived(atMS int, node string) emulator.Event {
 	return event(atMS, emulator.AttemptReceived, "", node, "")
 }
 
-func ran(atMS int, key string) emulator.Event {
+func writeExecuted(atMS int, key string) emulator.Event {
 	return event(atMS, emulator.WriteExecuted, "w", "o", key)
 }
 
-func told(atMS int, node, status string) emulator.Event {
+func statusDelivered(atMS int, node, status string) emulator.Event {
 	return event(atMS, emulator.StatusDelivered, "", node, status)
 }
 
-// closed is the end of the read's connection at 9 ms.
-func closed(note string) emulator.Event { return event(9, emulator.ConnectionClosed, "a", "", note) }
+// connectionClosed is the end of the read's connection at 9 ms.
+func connectionClosed(note string) emulator.Event { return event(9, emulator.ConnectionClosed, "a", "", note) }
 
 // slowStart is a node's slow start at 0, and how many commands it receives one a millisecond.
 func slowStart(commands, fromMS int, before ...emulator.Event) []emulator.Event {
 	trace := append([]emulator.Event{{At: 0, Kind: emulator.SlowStartBegan, Node: "c9", Proxy: -1, Figure: 10}}, before...)
 	for i := range commands {
-		trace = append(trace, took(fromMS+i, "c9"))
+		trace = append(trace, commandReceived(fromMS+i, "c9"))
 	}
 	return trace
 }
@@ -63,137 +63,137 @@
 	rule  emulator.Rule // "": none is broken
 }
 
-var answerCases = []ruleCase{
-	{"answered", []emulator.Event{asked(0), answered(9, "completed")}, ""},
-	{"never answered", []emulator.Event{asked(0), took(1100, "c1")}, emulator.FinalAnswerRule},
-	{"not yet answered", []emulator.Event{asked(0), took(1000, "c1")}, ""},
-	{"client left", []emulator.Event{asked(0), event(9, emulator.ClientLeft, "a", "", ""), took(1100, "c1")}, ""},
-	{"closed", []emulator.Event{asked(0), closed("")}, emulator.FinalAnswerRule},
-	{"closed when reused", []emulator.Event{asked(0), closed("reused"), asked(10), answered(19, "shed")}, ""},
-	{"closed after a kill", []emulator.Event{asked(0), ended(9, "killed"), closed("")}, ""},
-	{"closed after a graceful end", []emulator.Event{asked(0), ended(9, "stopped"), closed("")}, emulator.FinalAnswerRule},
-	{"closed before a kill", []emulator.Event{asked(0), closed(""), ended(10, "killed")}, ""},
-	{"closed before a graceful end", []emulator.Event{asked(0), closed(""), ended(10, "stopped")}, emulator.FinalAnswerRule},
-	{"answered late", []emulator.Event{asked(0), answered(1051, "shed")}, emulator.FinalAnswerRule},
-	{"answered twice", []emulator.Event{asked(0), answered(9, "shed"), answered(10, "shed")}, emulator.FinalAnswerRule},
-	{"never asked", []emulator.Event{answered(9, "shed")}, emulator.FinalAnswerRule},
-	{"absent soon after the write", []emulator.Event{ran(1, "k1"), asked(100), absent(109)}, ""},
-	{"absent long after the write", []emulator.Event{ran(1, "k1"), asked(9000), absent(9009)}, emulator.FreshAbsenceRule},
-	{"absent, and always there", []emulator.Event{asked(0), absent(9)}, emulator.FreshAbsenceRule},
-	{"crashed", []emulator.Event{ended(0, "crashed")}, emulator.CrashRule},
+var replyCases = []ruleCase{
+	{"answered", []emulator.Event{requestSent(0), replyReceived(9, "completed")}, ""},
+	{"never answered", []emulator.Event{requestSent(0), commandReceived(1100, "c1")}, emulator.FinalAnswerRule},
+	{"not yet answered", []emulator.Event{requestSent(0), commandReceived(1000, "c1")}, ""},
+	{"client left", []emulator.Event{requestSent(0), event(9, emulator.ClientLeft, "a", "", ""), commandReceived(1100, "c1")}, ""},
+	{"closed", []emulator.Event{requestSent(0), connectionClosed("")}, emulator.FinalAnswerRule},
+	{"closed when reused", []emulator.Event{requestSent(0), connectionClosed("reused"), requestSent(10), replyReceived(19, "shed")}, ""},
+	{"closed after a kill", []emulator.Event{requestSent(0), processEnded(9, "killed"), connectionClosed("")}, ""},
+	{"closed after a graceful end", []emulator.Event{requestSent(0), processEnded(9, "stopped"), connectionClosed("")}, emulator.FinalAnswerRule},
+	{"closed before a kill", []emulator.Event{requestSent(0), connectionClosed(""), processEnded(10, "killed")}, ""},
+	{"closed before a graceful end", []emulator.Event{requestSent(0), connectionClosed(""), processEnded(10, "stopped")}, emulator.FinalAnswerRule},
+	{"answered late", []emulator.Event{requestSent(0), replyReceived(1051, "shed")}, emulator.FinalAnswerRule},
+	{"answered twice", []emulator.Event{requestSent(0), replyReceived(9, "shed"), replyReceived(10, "shed")}, emulator.FinalAnswerRule},
+	{"never asked", []emulator.Event{replyReceived(9, "shed")}, emulator.FinalAnswerRule},
+	{"absent soon after the write", []emulator.Event{writeExecuted(1, "k1"), requestSent(100), absentReply(109)}, ""},
+	{"absent long after the write", []emulator.Event{writeExecuted(1, "k1"), requestSent(9000), absentReply(9009)}, emulator.FreshAbsenceRule},
+	{"absent, and always there", []emulator.Event{requestSent(0), absentReply(9)}, emulator.FreshAbsenceRule},
+	{"crashed", []emulator.Event{processEnded(0, "crashed")}, emulator.CrashRule},
 }
 
 var nodeCases = []ruleCase{
-	{"two writes", []emulator.Event{ran(1, "k1"), ran(2, "k2")}, ""},
-	{"a write twice", []emulator.Event{ran(1, "k1"), ran(2, "k1")}, emulator.SingleEffectRule},
-	{"a write without key twice", []emulator.Event{ran(1, ""), ran(2, "")}, emulator.SingleEffectRule},
-	{"drained", []emulator.Event{told(0, "c1", "leaving"), took(349, "c1"), took(360, "c2")}, ""},
+	{"two writes", []emulator.Event{writeExecuted(1, "k1"), writeExecuted(2, "k2")}, ""},
+	{"a write twice", []emulator.Event{writeExecuted(1, "k1"), writeExecuted(2, "k1")}, emulator.SingleEffectRule},
+	{"a write without key twice", []emulator.Event{writeExecuted(1, ""), writeExecuted(2, "")}, emulator.SingleEffectRule},
+	{"drained", []emulator.Event{statusDelivered(0, "c1", "leaving"), commandReceived(349, "c1"), commandReceived(360, "c2")}, ""},
 	{
 		"sent to a draining node",
-		[]emulator.Event{told(0, "c1", "leaving"), told(200, "c1", "left"), took(360, "c1")},
+		[]emulator.Event{statusDelivered(0, "c1", "leaving"), statusDelivered(200, "c1", "left"), commandReceived(360, "c1")},
 		emulator.DrainRule,
 	},
-	{"drained and back", []emulator.Event{told(0, "c1", "leaving"), told(200, "c1", "active"), took(600, "c1")}, ""},
+	{"drained and back", []emulator.Event{statusDelivered(0, "c1", "leaving"), statusDelivered(200, "c1", "active"), commandReceived(600, "c1")}, ""},
 	{
 		"drained during a pause",
-		[]emulator.Event{paused(0, "stands"), told(9, "c1", "leaving"), paused(900, "goes on"), took(1100, "c1")},
+		[]emulator.Event{processPaused(0, "stands"), statusDelivered(9, "c1", "leaving"), processPaused(900, "goes on"), commandReceived(1100, "c1")},
 		"",
 	},
 	{
 		"drained after a pause",
-		[]emulator.Event{paused(0, "stands"), paused(9, "goes on"), told(10, "c1", "leaving"), took(400, "c1")},
+		[]emulator.Event{processPaused(0, "stands"), processPaused(9, "goes on"), statusDelivered(10, "c1", "leaving"), commandReceived(400, "c1")},
 		emulator.DrainRule,
 	},
 	{"slow start", slowStart(12, 0), ""},
-	{"overloaded in slow start", slowStart(40, 0, told(0, "c9", "active")), emulator.SlowStartRule},
+	{"overloaded in slow start", slowStart(40, 0, statusDelivered(0, "c9", "active")), emulator.SlowStartRule},
 	{"overloaded by uninformed proxies", slowStart(40, 0), ""},
-	{"loaded as chance has it", slowStart(25, 0, told(0, "c9", "active")), ""},
-	{"loaded more than by chance", slowStart(26, 0, told(0, "c9", "active")), emulator.SlowStartRule},
+	{"loaded as chance has it", slowStart(25, 0, statusDelivered(0, "c9", "active")), ""},
+	{"loaded more than by chance", slowStart(26, 0, statusDelivered(0, "c9", "active")), emulator.SlowStartRule},
 	{"after the slow start", slowStart(200, 2001), ""},
 }
 
-// toldMS returns the arrival of an attempt that was told how long to work.
-func toldMS(atMS int, waitMS float64) emulator.Event {
-	e := attempt(atMS, "c1")
+// attemptWithTimeout returns the arrival of an attempt that was told how long to work.
+func attemptWithTimeout(atMS int, waitMS float64) emulator.Event {
+	e := attemptReceived(atMS, "c1")
 	e.Figure = waitMS
 	return e
 }
 
-// attempt returns the arrival of an attempt of the read.
-func attempt(atMS int, node string) emulator.Event {
+// attemptReceived returns the arrival of an attemptReceived of the read.
+func attemptReceived(atMS int, node string) emulator.Event {
 	return event(atMS, emulator.AttemptReceived, "a", node, "")
 }
 
-// reported returns what a proxy reports at the end.
-func reported(kind emulator.EventKind, note string, figure float64) emulator.Event {
+// reportedByProxy returns what a proxy reports at the end.
+func reportedByProxy(kind emulator.EventKind, note string, figure float64) emulator.Event {
 	e := event(2000, kind, "", "", note)
 	e.Figure = figure
 	return e
 }
 
-// left is the leaving of the read's client at 100 ms.
-func left() emulator.Event { return event(100, emulator.ClientLeft, "a", "", "") }
+// clientLeft is the leaving of the read's client at 100 ms.
+func clientLeft() emulator.Event { return event(100, emulator.ClientLeft, "a", "", "") }
 
 var attemptCases = []ruleCase{
-	{"attempt after the client left", []emulator.Event{asked(0), left(), attempt(260, "c1")}, emulator.LateAttemptRule},
-	{"attempt as the client left", []emulator.Event{asked(0), left(), attempt(240, "c1")}, ""},
-	{"attempt after the answer", []emulator.Event{asked(0), answered(100, "completed"), attempt(260, "c1")}, emulator.LateAttemptRule},
-	{"hedged attempt as the answer came", []emulator.Event{asked(0), attempt(10, "c1"), answered(100, "completed"), attempt(240, "c2")}, ""},
-	{"attempt of a request that is asked again", []emulator.Event{asked(0), left(), asked(250), attempt(260, "c1"), answered(300, "completed")}, ""},
+	{"attempt after the client left", []emulator.Event{requestSent(0), clientLeft(), attemptReceived(260, "c1")}, emulator.LateAttemptRule},
+	{"attempt as the client left", []emulator.Event{requestSent(0), clientLeft(), attemptReceived(240, "c1")}, ""},
+	{"attempt after the answer", []emulator.Event{requestSent(0), replyReceived(100, "completed"), attemptReceived(260, "c1")}, emulator.LateAttemptRule},
+	{"hedged attempt as the answer came", []emulator.Event{requestSent(0), attemptReceived(10, "c1"), replyReceived(100, "completed"), attemptReceived(240, "c2")}, ""},
+	{"attempt of a request that is asked again", []emulator.Event{requestSent(0), clientLeft(), requestSent(250), attemptReceived(260, "c1"), replyReceived(300, "completed")}, ""},
 	{"attempt of a paused proxy", []emulator.Event{
-		asked(0), left(), paused(110, "stands"), paused(400, "goes on"), attempt(410, "c1"),
+		requestSent(0), clientLeft(), processPaused(110, "stands"), processPaused(400, "goes on"), attemptReceived(410, "c1"),
 	}, ""},
-	{"told more than is left", []emulator.Event{asked(0), toldMS(500, 701), answered(600, "completed")}, emulator.ToldDeadlineRule},
-	{"told what is left and the slack", []emulator.Event{asked(0), toldMS(500, 700), answered(600, "completed")}, ""},
+	{"told more than is left", []emulator.Event{requestSent(0), attemptWithTimeout(500, 701), replyReceived(600, "completed")}, emulator.ToldDeadlineRule},
+	{"told what is left and the slack", []emulator.Event{requestSent(0), attemptWithTimeout(500, 700), replyReceived(600, "completed")}, ""},
 }
 
-// effect returns that the origin carried out the write "a", which has no idempotency key.
-func effect(atMS int) emulator.Event { return event(atMS, emulator.WriteExecuted, "a", "origin", "") }
+// writeOfRead returns that the origin carried out the write "a", which has no idempotency key.
+func writeOfRead(atMS int) emulator.Event { return event(atMS, emulator.WriteExecuted, "a", "origin", "") }
 
-// closedReused returns that the connection ended on which the request was sent, and which had served others before.
-func closedReused(atMS int) emulator.Event {
+// reusedConnectionClosed returns that the connection ended on which the request was sent, and which had served others before.
+func reusedConnectionClosed(atMS int) emulator.Event {
 	return event(atMS, emulator.ConnectionClosed, "a", "", "reused")
 }
 
 var effectCases = []ruleCase{
 	{"asked again where its proxy was killed", []emulator.Event{
-		asked(0), closedReused(20), ended(21, "killed"), effect(25), asked(30), effect(40), answered(50, "completed"),
+		requestSent(0), reusedConnectionClosed(20), processEnded(21, "killed"), writeOfRead(25), requestSent(30), writeOfRead(40), replyReceived(50, "completed"),
 	}, ""},
 	{"asked again where its proxy lives", []emulator.Event{
-		asked(0), effect(10), closedReused(20), asked(30), effect(40), answered(50, "completed"),
+		requestSent(0), writeOfRead(10), reusedConnectionClosed(20), requestSent(30), writeOfRead(40), replyReceived(50, "completed"),
 	}, emulator.SingleEffectRule},
 }
 
 var processCases = []ruleCase{
 	{"not ready", []emulator.Event{event(2000, emulator.ProcessLate, "", "", "")}, emulator.ReadyRule},
-	{"violation logged", []emulator.Event{reported(emulator.LogReported, "invariant violated", 1)}, emulator.InvariantRule},
+	{"violation logged", []emulator.Event{reportedByProxy(emulator.LogReported, "invariant violated", 1)}, emulator.InvariantRule},
 	{"violation counted and logged, one of two by a pause", []emulator.Event{
-		reported(emulator.CounterReported, "woodproxy_invariant_violations_total", 2), reported(emulator.LogReported, "excused by a pause", 1),
+		reportedByProxy(emulator.CounterReported, "woodproxy_invariant_violations_total", 2), reportedByProxy(emulator.LogReported, "excused by a pause", 1),
 	}, emulator.ResidueRule},
 	{"violation counted and logged by a pause", []emulator.Event{
-		reported(emulator.CounterReported, "woodproxy_invariant_violations_total", 1), reported(emulator.LogReported, "excused by a pause", 1),
+		reportedByProxy(emulator.CounterReported, "woodproxy_invariant_violations_total", 1), reportedByProxy(emulator.LogReported, "excused by a pause", 1),
 	}, ""},
-	{"request held at the end", []emulator.Event{reported(emulator.CounterReported, "woodproxy_held", 1)}, emulator.ResidueRule},
-	{"nothing held at the end", []emulator.Event{reported(emulator.CounterReported, "woodproxy_held", 0)}, ""},
-	{"many goroutines", []emulator.Event{reported(emulator.CounterReported, "woodproxy_goroutines", 125)}, emulator.ResidueRule},
-	{"few goroutines", []emulator.Event{reported(emulator.CounterReported, "woodproxy_goroutines", 124)}, ""},
+	{"request held at the end", []emulator.Event{reportedByProxy(emulator.CounterReported, "woodproxy_held", 1)}, emulator.ResidueRule},
+	{"nothing held at the end", []emulator.Event{reportedByProxy(emulator.CounterReported, "woodproxy_held", 0)}, ""},
+	{"many goroutines", []emulator.Event{reportedByProxy(emulator.CounterReported, "woodproxy_goroutines", 125)}, emulator.ResidueRule},
+	{"few goroutines", []emulator.Event{reportedByProxy(emulator.CounterReported, "woodproxy_goroutines", 124)}, ""},
 	{"bad client ignored", []emulator.Event{event(2000, emulator.BadClientIgnored, "", "", "")}, emulator.BadClientRule},
 	{"bad client of a paused proxy", []emulator.Event{
-		paused(500, "stands"), paused(1500, "goes on"), event(2000, emulator.BadClientIgnored, "", "", ""),
+		processPaused(500, "stands"), processPaused(1500, "goes on"), event(2000, emulator.BadClientIgnored, "", "", ""),
 	}, ""},
-	{"over the memory", []emulator.Event{reported(emulator.LimitExceeded, "MB of memory", 65), ended(2001, "killed")}, emulator.MemoryRule},
-	{"over the descriptors", []emulator.Event{reported(emulator.LimitExceeded, "descriptors", 513), ended(2001, "killed")}, emulator.DescriptorRule},
-	{"hung", []emulator.Event{reported(emulator.ProcessHung, "", 5.1)}, emulator.HungRule},
+	{"over the memory", []emulator.Event{reportedByProxy(emulator.LimitExceeded, "MB of memory", 65), processEnded(2001, "killed")}, emulator.MemoryRule},
+	{"over the descriptors", []emulator.Event{reportedByProxy(emulator.LimitExceeded, "descriptors", 513), processEnded(2001, "killed")}, emulator.DescriptorRule},
+	{"hung", []emulator.Event{reportedByProxy(emulator.ProcessHung, "", 5.1)}, emulator.HungRule},
 	{"hung while paused", []emulator.Event{
-		paused(500, "stands"), paused(1500, "goes on"), reported(emulator.ProcessHung, "", 5.1),
+		processPaused(500, "stands"), processPaused(1500, "goes on"), reportedByProxy(emulator.ProcessHung, "", 5.1),
 	}, ""},
-	{"closed unread in a crowd", []emulator.Event{event(1, emulator.CrowdCame, "", "", "come"), asked(5), closed("")}, ""},
+	{"closed unread in a crowd", []emulator.Event{event(1, emulator.CrowdCame, "", "", "come"), requestSent(5), connectionClosed("")}, ""},
 	{"closed unread as a crowd has left", []emulator.Event{
 		event(1, emulator.CrowdCame, "", "", "come"), event(2, emulator.CrowdCame, "", "", "come"), event(3, emulator.CrowdCame, "", "", "go"),
-		event(4, emulator.CrowdCame, "", "", "go"), asked(5), closed(""),
+		event(4, emulator.CrowdCame, "", "", "go"), requestSent(5), connectionClosed(""),
 	}, emulator.FinalAnswerRule},
 	{"closed in a crowd under a request that was forwarded", []emulator.Event{
-		event(1, emulator.CrowdCame, "", "", "come"), asked(5), event(6, emulator.AttemptReceived, "a", "c1", ""), closed(""),
+		event(1, emulator.CrowdCame, "", "", "come"), requestSent(5), event(6, emulator.AttemptReceived, "a", "c1", ""), connectionClosed(""),
 	}, emulator.FinalAnswerRule},
 	{"invented", []emulator.Event{event(2000, emulator.CommandInvented, "b", "c1", "")}, emulator.InventedRule},
 }
@@ -202,7 +202,7 @@
 func TestRulesFire(t *testing.T) {
 	scenario := parseScenario(t, calmScenario)
 	requests := []emulator.Request{{ID: "a"}, {ID: "w", Route: 1}}
-	for _, c := range slices.Concat(answerCases, nodeCases, attemptCases, effectCases, processCases) {
+	for _, c := range slices.Concat(replyCases, nodeCases, attemptCases, effectCases, processCases) {
 		t.Run(c.name, func(t *testing.T) {
 			found := emulator.CheckInvariants(scenario, requests, c.trace)
 			if c.rule == "" && len(found) > 0 || c.rule != "" && (len(found) != 1 || found[0].Rule != c.rule) {
--- a/internal/emulator/lateness_test.go
+++ b/internal/emulator/lateness_test.go
@@ -9,7 +9,7 @@
 )
 
 // One late moment of the machine took the verdict from a whole play: it excuses what lies near it, and nothing else.
-func TestLateMomentExcusesWhatIsNear(t *testing.T) {
+func TestLateSendExcusesOnlyNearbyViolations(t *testing.T) {
 	violation := func(rule emulator.Rule, beganMS, atMS int) emulator.Violation {
 		return emulator.Violation{Rule: rule, At: time.Duration(atMS) * time.Millisecond, Events: []emulator.Event{event(beganMS, emulator.RequestSent, "a", "", "")}}
 	}
@@ -27,7 +27,7 @@
 		{"seen at the end only", violation(emulator.ResidueRule, 9000, 9000), true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			report := &emulator.Report{LateMoments: []time.Duration{time.Second}, Violations: []emulator.Violation{test.violation}}
+			report := &emulator.Report{LateSendTimes: []time.Duration{time.Second}, Violations: []emulator.Violation{test.violation}}
 			if excused := len(report.Unexcused()) == 0; excused != test.excused {
 				t.Errorf("excused: %v, want %v", excused, test.excused)
 			}
@@ -38,7 +38,7 @@
 func TestLatePartCountsOverlapsOnce(t *testing.T) {
 	report := &emulator.Report{
 		Plan:        &emulator.Plan{Scenario: &emulator.Scenario{LengthS: 10}},
-		LateMoments: []time.Duration{time.Second, 1100 * time.Millisecond, 5 * time.Second},
+		LateSendTimes: []time.Duration{time.Second, 1100 * time.Millisecond, 5 * time.Second},
 	}
 	if part := report.LatePart(); part < 0.129 || part > 0.131 {
 		t.Errorf("%.4f, want 0.13", part)
@@ -51,17 +51,17 @@
 		kind string
 		does emulator.Event
 	}{
-		{"kill", ended(5, "killed")},
-		{"mass-kill", ended(5, "killed")},
-		{"restart", ended(5, "stopped")},
-		{"hot-restart", ended(5, "replaced")},
-		{"pause", paused(5, "stands")},
+		{"kill", processEnded(5, "killed")},
+		{"mass-kill", processEnded(5, "killed")},
+		{"restart", processEnded(5, "stopped")},
+		{"hot-restart", processEnded(5, "replaced")},
+		{"pause", processPaused(5, "stands")},
 		{"cold", event(5, emulator.SlowStartBegan, "", "c1", "")},
 		{"replace", event(5, emulator.SlowStartBegan, "", "c1", "")},
 	} {
 		t.Run(test.kind, func(t *testing.T) {
 			plan := &emulator.Plan{Faults: []emulator.FaultEvent{{Fault: emulator.Fault{Kind: test.kind}}}}
-			idle := (&emulator.Report{Plan: plan, Events: []emulator.Event{ended(9, "stopped another way")}}).IdleFaults()
+			idle := (&emulator.Report{Plan: plan, Events: []emulator.Event{processEnded(9, "stopped another way")}}).IdleFaults()
 			if !slices.Equal(idle, []string{test.kind}) {
 				t.Errorf("idle: %v", idle)
 			}
--- a/internal/emulator/limit_watch.go
+++ b/internal/emulator/limit_watch.go
@@ -40,7 +40,7 @@
 		case <-ticker.C:
 		}
 		memory, open := residentMB(owner.PID()), openDescriptors(owner.PID())
-		r.proxies[i].recordUse(memory, open)
+		r.proxies[i].recordResourceUsage(memory, open)
 		event := Event{Kind: LimitExceeded, Proxy: i}
 		switch {
 		case memory > float64(limits.MemoryMB):
@@ -100,9 +100,9 @@
 		case <-time.After(pingInterval):
 		}
 		m.mu.Lock()
-		told := process.endNote != "" || m.current != process
+		stopping := process.endNote != "" || m.current != process
 		m.mu.Unlock()
-		if told {
+		if stopping {
 			return
 		}
 		if err := ping(m.config.Listen); err == nil || systemerror.IsTransient(err) || m.crowds.Load() > 0 { // a shortage here, or there, tells nothing
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -39,13 +39,13 @@
 	pingTimeout         = 2 * time.Second
 	lateSendThreshold   = 5 * time.Millisecond   // a request sent later than that shows that the load generator itself ran late
 	clientGrace         = 500 * time.Millisecond // beyond the overall timeout, until a client gives up
-	longAnswerTimeout   = 10 * time.Second       // for the rest of an answer that has begun
+	longReplyTimeout   = 10 * time.Second       // for the rest of an answer that has begun
 	idleProbeTimeout    = 100 * time.Microsecond // within which an end of an idle connection, or an unexpected answer, is seen
 	dialAttempts        = 3
 	dialRetryDelay      = 20 * time.Millisecond
 	clientBufferSize    = 2 << 10
 	writtenValue        = "vvvvvvvv"
-	noteInAnswer        = "amid the answer" // ConnectionClosed: in the middle of an answer
+	noteDuringReply        = "amid the answer" // ConnectionClosed: in the middle of an answer
 	noteUnexpectedReply = "again"           // AnswerReceived: without another request
 )
 
@@ -228,7 +228,7 @@
 			return conn
 		}
 		if err == nil {
-			g.log.Record(Event{Kind: AnswerReceived, RequestID: conn.lastRequestID, Proxy: proxy, Note: noteUnexpectedReply})
+			g.log.Record(Event{Kind: ReplyReceived, RequestID: conn.lastRequestID, Proxy: proxy, Note: noteUnexpectedReply})
 		}
 		_ = conn.Close() // it has ended or is out of step
 	}
@@ -279,19 +279,19 @@
 		_, err = conn.reader.Peek(1)
 	}
 	if err != nil {
-		return g.unanswered(conn, request, err)
+		return g.recordNoReply(conn, request, err)
 	}
-	err = conn.SetDeadline(time.Now().Add(longAnswerTimeout))
+	err = conn.SetDeadline(time.Now().Add(longReplyTimeout))
 	var head, body string
 	if err == nil {
 		head, body, err = ReadElement(conn.reader)
 	}
 	if err != nil {
 		_ = conn.Close() // it has failed
-		g.log.Record(Event{Kind: ConnectionClosed, RequestID: request.ID, Proxy: conn.proxy, Note: noteInAnswer})
+		g.log.Record(Event{Kind: ConnectionClosed, RequestID: request.ID, Proxy: conn.proxy, Note: noteDuringReply})
 		return Unanswered, nil
 	}
-	return g.answered(conn, request, head, body), nil
+	return g.recordReply(conn, request, head, body), nil
 }
 
 // drip writes byte by byte.
@@ -330,8 +330,8 @@
 	return encodeCommand(c.name, c.key, id, c.facts)
 }
 
-// unanswered closes a connection on which no answer began, for an error, and records why.
-func (g *loadGenerator) unanswered(conn *clientConn, request Request, err error) (Outcome, error) {
+// recordNoReply closes a connection on which no answer began, for an error, and records why.
+func (g *loadGenerator) recordNoReply(conn *clientConn, request Request, err error) (Outcome, error) {
 	_ = conn.Close() // it has failed, or its client leaves
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		note := ""
@@ -348,9 +348,9 @@
 	return Unanswered, nil
 }
 
-// answered records an answer and puts the connection among the idle ones.
-func (g *loadGenerator) answered(conn *clientConn, request Request, head, body string) Outcome {
-	event, outcome := Event{Kind: AnswerReceived, RequestID: request.ID, Proxy: conn.proxy}, Failed
+// recordReply records an answer and puts the connection among the idle ones.
+func (g *loadGenerator) recordReply(conn *clientConn, request Request, head, body string) Outcome {
+	event, outcome := Event{Kind: ReplyReceived, RequestID: request.ID, Proxy: conn.proxy}, Failed
 	switch {
 	case head[0] == '$':
 		outcome = Completed
--- a/internal/emulator/needs.go
+++ b/internal/emulator/needs.go
@@ -12,16 +12,16 @@
 	CompletedPart float64 // of the requests
 }
 
-// recordUse notes what a process uses at a moment.
-func (m *managedProxy) recordUse(memoryMB float64, descriptors int) {
+// recordResourceUsage notes what a process uses at a moment.
+func (m *managedProxy) recordResourceUsage(memoryMB float64, descriptors int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.peakMemoryMB = max(m.peakMemoryMB, memoryMB)
 	m.peakDescriptors = max(m.peakDescriptors, descriptors)
 }
 
-// measureNeeds calculates what a proxy has needed, once all processes have ended.
-func (r *runner) measureNeeds() Needs {
+// measureResourceUsage calculates what a proxy has needed, once all processes have ended.
+func (r *runner) measureResourceUsage() Needs {
 	var needs Needs
 	for i, m := range r.proxies {
 		needs.MemoryMB += m.peakMemoryMB
--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -45,12 +45,12 @@
 	random := rand.New(rand.NewPCG(seed, 1))
 	zipf := rand.NewZipf(rand.New(rand.NewPCG(seed, 2)), d.Keys.Zipf, 8, uint64(d.Keys.Count-1))
 	gaps := distuv.Exponential{Rate: 1, Src: rand.NewPCG(seed, 3)}
-	highest := d.Load.Rate
+	maxRate := d.Load.Rate
 	for _, s := range d.Load.Steps {
-		highest = math.Max(highest, d.Load.Rate*s.Factor)
+		maxRate = math.Max(maxRate, d.Load.Rate*s.Factor)
 	}
-	for at := gaps.Rand() / highest; at < d.LengthS; at += gaps.Rand() / highest {
-		if random.Float64()*highest > d.rateAt(at) {
+	for at := gaps.Rand() / maxRate; at < d.LengthS; at += gaps.Rand() / maxRate {
+		if random.Float64()*maxRate > d.rateAt(at) {
 			continue
 		}
 		r := Request{
--- a/internal/emulator/plan_test.go
+++ b/internal/emulator/plan_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestSeedSettlesPlan(t *testing.T) {
+func TestPlanIsDeterminedBySeed(t *testing.T) {
 	text := withFaults(calmScenario, "kind = \"silent\"; at_s = 0.5; for_s = 1.0; nodes = 2")
 	a, b, c := parseScenario(t, text).NewPlan(7), parseScenario(t, text).NewPlan(7), parseScenario(t, text).NewPlan(8)
 	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.Requests, c.Requests) {
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// requestsPerLate is how many requests there have to be for each late one in a run that counts as on time.
-const requestsPerLate = 200
+// requestsPerLateSend is how many requests there have to be for each late one in a run that counts as on time.
+const requestsPerLateSend = 200
 
 // Report is what came of a scenario.
 type Report struct {
@@ -12,7 +12,7 @@
 	Violations          []Violation
 	Events              []Event
 	MaxLatenessMS       float64         // greatest lateness of the load generator, in milliseconds
-	LateMoments         []time.Duration // at which the load generator was late, by the events' clock
+	LateSendTimes         []time.Duration // at which the load generator was late, by the events' clock
 	OnTime              bool            // at most one request in two hundred was sent late
 	CPUMicrosPerRequest float64         // of all proxies, microseconds a request; 0 where they are not processes
 
@@ -54,15 +54,15 @@
 	r.measureZoneHealth(report)
 	report.BackgroundLoad = r.summarizeBackgroundLoad(events)
 	report.CPUMicrosPerRequest = float64(r.proxyCPU.Load()) / 1000 / float64(max(len(r.plan.Requests), 1))
-	report.Needs = r.measureNeeds()
+	report.Needs = r.measureResourceUsage()
 	late := 0
 	for _, e := range events {
 		if e.Kind == SentLate {
 			late++
-			report.LateMoments = append(report.LateMoments, e.At)
+			report.LateSendTimes = append(report.LateSendTimes, e.At)
 			report.MaxLatenessMS = max(report.MaxLatenessMS, e.Figure)
 		}
 	}
-	report.OnTime = late*requestsPerLate <= len(r.plan.Requests)
+	report.OnTime = late*requestsPerLateSend <= len(r.plan.Requests)
 	return report
 }
--- a/internal/emulator/residue.go
+++ b/internal/emulator/residue.go
@@ -96,7 +96,7 @@
 			if counts[proxy] == nil {
 				counts[proxy] = map[string]float64{}
 			}
-			if r.isOfPause(proxy, &line, processes) {
+			if r.isExcusedByPause(proxy, &line, processes) {
 				message = noteExcused
 			}
 			counts[proxy][message]++
@@ -109,9 +109,9 @@
 	}
 }
 
-// invariantDeadline is the invariant that a proxy finds broken where it was stopped between the writing of an attempt and
+// sentDeadlineInvariant is the invariant that a proxy finds broken where it was stopped between the writing of an attempt and
 // the look at the clock behind it. The operators allow for 0.15 s there, and pauses last longer.
-const invariantDeadline = "told_deadline_holds"
+const sentDeadlineInvariant = "told_deadline_holds"
 
 // noteExcused is the note of LogReported events that count what a pause explains.
 const noteExcused = "excused by a pause"
@@ -119,8 +119,8 @@
 // pauseSlack is how long after the end of a pause a process may log what came of it.
 const pauseSlack = 100 * time.Millisecond
 
-// isOfPause reports whether a line tells of a deadline that a pause of the proxy has outdated.
-func (r *runner) isOfPause(proxy int, line *logLine, processes *processHistory) bool {
+// isExcusedByPause reports whether a line tells of a deadline that a pause of the proxy has outdated.
+func (r *runner) isExcusedByPause(proxy int, line *logLine, processes *processHistory) bool {
 	at := time.Duration((line.At - float64(r.log.start.UnixNano())/1e9) * float64(time.Second))
-	return line.Invariant == invariantDeadline && processes.wasPaused(proxy, at-pauseSlack, at)
+	return line.Invariant == sentDeadlineInvariant && processes.wasPaused(proxy, at-pauseSlack, at)
 }
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -174,19 +174,19 @@
 }
 
 // NeedsGossip reports whether a fault has an effect only where proxies gossip.
-func (t Fault) NeedsGossip() bool {
-	return t.Kind == "part" || t.Kind == "one-way" || t.Kind == "lossy" || t.Kind == "whisper"
+func (f Fault) NeedsGossip() bool {
+	return f.Kind == "part" || f.Kind == "one-way" || f.Kind == "lossy" || f.Kind == "whisper"
 }
 
-// faultNeeds is which figures a kind of fault takes.
-type faultNeeds struct {
+// faultParameters is which figures a kind of fault takes.
+type faultParameters struct {
 	nodes, times, part, rate, zone, step bool
 
 	some bool // nodes is optional, and without it all are targets
 }
 
 // faultKinds holds every kind of fault.
-var faultKinds = map[string]faultNeeds{
+var faultKinds = map[string]faultParameters{
 	"silent":        {nodes: true},
 	"slow":          {nodes: true, times: true},
 	"failing":       {nodes: true, part: true},
--- a/internal/emulator/scenario_check.go
+++ b/internal/emulator/scenario_check.go
@@ -139,7 +139,7 @@
 	c.require(ok, "%skind: %q: unknown", prefix, fault.Kind)
 	c.inRange(prefix+"at_s", fault.AtS, 0, d.LengthS)
 	c.inRange(prefix+"for_s", fault.DurationS, 0, d.LengthS-fault.AtS)
-	c.checkFaultFigures(prefix, fault)
+	c.checkFaultParameters(prefix, fault)
 	c.inRange(prefix+"leave_ms", fault.LeaveMS, 0, 60000)
 	c.inRange(prefix+"variant", float64(fault.Variant), 0, 100)
 	c.inRange(prefix+"slow_ms", fault.MaxDelayMS, 0, 10000)
@@ -162,8 +162,8 @@
 	}
 }
 
-// checkFaultFigures checks that a fault has the figures that its kind needs, and no others.
-func (c *scenarioChecker) checkFaultFigures(prefix string, fault Fault) {
+// checkFaultParameters checks that a fault has the figures that its kind needs, and no others.
+func (c *scenarioChecker) checkFaultParameters(prefix string, fault Fault) {
 	needs := faultKinds[fault.Kind]
 	for _, figure := range []struct {
 		key              string
--- a/internal/emulator/slow_start_check.go
+++ b/internal/emulator/slow_start_check.go
@@ -76,11 +76,11 @@
 		speed += (1 - speed) * float64(age) / float64(slowStart)
 	}
 	mean := overloadMultiple * speed * commandsPerSecond * overloadWindow.Seconds()
-	if mean < fewCommands {
+	if mean < smallMean {
 		return mean + 3*math.Sqrt(mean) + 3
 	}
 	return mean + 2*math.Sqrt(mean) + 2
 }
 
-// fewCommands is the mean below which chance is allowed more.
-const fewCommands = 30
+// smallMean is the mean below which chance is allowed more.
+const smallMean = 30
