--- a/internal/emulator/absence_check.go
+++ b/internal/emulator/absence_check.go
@@ -11,7 +11,7 @@
 	scenario     *Scenario
 	keys         map[string]string        // by request
 	firstWritten map[string]time.Duration // by key
-	maxStaleness time.Duration            // the longest for which a key was reported missing after it was written
+	maxStaleness time.Duration            // longest time for which a key was reported absent after its write
 }
 
 func (a *absenceCheck) observeWrite(e Event) {
@@ -20,12 +20,12 @@
 	}
 }
 
-// observeAbsent checks an answer that there is no such key to a request that was asked at a moment.
+// observeAbsent checks a reply that reports an absent key, to a request that was sent at sentAt.
 func (a *absenceCheck) observeAbsent(e Event, sentAt time.Duration) {
 	key, limit := a.keys[e.RequestID], a.scenario.maxAbsentStaleness()
 	written, ok := a.firstWritten[key]
 	if !ok && hashedFloat("missing", key) >= a.scenario.NegativeCache.AbsentPart {
-		a.violate(FreshAbsenceRule, e, "key %s of request %s was always there, and is called missing", key, e.RequestID)
+		a.violate(FreshAbsenceRule, e, "key %s of request %s has always existed and is reported absent", key, e.RequestID)
 		return
 	}
 	staleness := sentAt - written
@@ -34,6 +34,6 @@
 	}
 	a.maxStaleness = max(a.maxStaleness, staleness)
 	if staleness > limit && !a.processes.wasPaused(e.Proxy, written, e.At) {
-		a.violate(FreshAbsenceRule, e, "key %s of request %s is called missing %v after it was written, over %v", key, e.RequestID, staleness, limit)
+		a.violate(FreshAbsenceRule, e, "key %s of request %s is reported absent %v after it was written, limit %v", key, e.RequestID, staleness, limit)
 	}
 }
--- a/internal/emulator/absent_keys.go
+++ b/internal/emulator/absent_keys.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// noSuchKey is an AnswerReceived event's node where the answer was that there is no such key.
+// noSuchKey is the Node of a ReplyReceived event whose reply reports an absent key.
 const noSuchKey = "none"
 
-// maxAbsentStaleness is the longest for which a key may be reported missing after it was written: until the writer's latest
-// heartbeat has expired after three intervals of it, or one has come just before that and the grace of two seconds after it has
-// passed, half a second of timers' delay, and a second for what is in flight.
+// maxAbsentStaleness returns the longest time for which a key may be reported absent after it was written. It is the sum of
+// three heartbeat intervals of the writer, after which its latest heartbeat expires, the grace period of two seconds that
+// follows a heartbeat received just before its expiry, half a second for timer delays, and one second for requests in
+// flight.
 func (d *Scenario) maxAbsentStaleness() time.Duration {
 	heartbeat := time.Second + time.Duration(d.Proxies)*10*time.Millisecond
 	return 3*heartbeat + 500*time.Millisecond + 2*time.Second + time.Second
 }
 
-// measureAbsentKeys counts look-ups of keys that the origin lacks, a second.
+// measureAbsentKeys sets the rates of look-ups of absent keys at the origin and of replies that report an absent key.
 func (r *runner) measureAbsentKeys(report *Report, events []Event) {
 	for _, e := range events {
 		switch {
--- a/internal/emulator/attempt_check.go
+++ b/internal/emulator/attempt_check.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// What the rules on attempts allow, beside timingSlack.
+// Tolerances of the rules on attempts, in addition to timingSlack.
 const (
-	lateAttemptGrace  = 100 * time.Millisecond // from a request's end to the begin of an attempt
-	toldDeadlineSlack = 150 * time.Millisecond // by which an attempt's deadline may be beyond its client's
+	lateAttemptGrace  = 100 * time.Millisecond // from the end of a request to the start of an attempt
+	toldDeadlineSlack = 150 * time.Millisecond // by which the deadline sent with an attempt may exceed the client's deadline
 )
 
 // attemptCheck checks LateAttemptRule and ToldDeadlineRule.
@@ -13,9 +13,10 @@
 	*findings
 	processes *processHistory
 	routes    map[string]Route         // by request
-	sentAt     map[string]time.Duration // by request, when its client last sent it
-	endedAt     map[string]time.Duration // by request, when its client left or had its answer
-	// linksDelayed is set where links hold back what is on its way: when an attempt arrives does not tell when it began.
+	sentAt    map[string]time.Duration // by request, time at which its client last sent it
+	endedAt   map[string]time.Duration // by request, time at which its client left or received the reply
+	// linksDelayed is set if link faults delay traffic between processes. The arrival time of an attempt then says nothing
+	// about the time at which it began, and arrivals are not checked.
 	linksDelayed bool
 }
 
@@ -36,7 +37,7 @@
 	}
 	if end, ended := a.endedAt[e.RequestID]; ended && !a.processes.wasPaused(e.Proxy, end, e.At) {
 		if delay := e.At - end; delay > lateAttemptGrace+timingSlack {
-			a.violate(LateAttemptRule, e, "node %s took an attempt of request %s %v after its end", e.Node, e.RequestID, delay)
+			a.violate(LateAttemptRule, e, "node %s received an attempt of request %s %v after the end of the request", e.Node, e.RequestID, delay)
 		}
 	}
 	sentAt, known := a.sentAt[e.RequestID]
@@ -46,6 +47,6 @@
 	}
 	excess := e.At + millis(e.Figure) - (sentAt + millis(route.TimeoutMS))
 	if excess > toldDeadlineSlack+timingSlack {
-		a.violate(ToldDeadlineRule, e, "node %s was told %.0f ms for request %s, %v more than its client waits", e.Node, e.Figure, e.RequestID, excess)
+		a.violate(ToldDeadlineRule, e, "node %s received a deadline of %.0f ms for request %s, %v beyond the deadline of the client", e.Node, e.Figure, e.RequestID, excess)
 	}
 }
--- a/internal/emulator/drain_check.go
+++ b/internal/emulator/drain_check.go
@@ -7,9 +7,9 @@
 // drainCheck checks DrainRule.
 type drainCheck struct {
 	*findings
-	processes *processHistory
-	drainingSince     map[proxyNode]time.Duration // when a proxy was notified of a drain that lasts
-	grace     time.Duration
+	processes     *processHistory
+	drainingSince map[proxyNode]time.Duration // time at which a proxy was notified of a drain that has not ended
+	grace         time.Duration
 }
 
 func (d *drainCheck) observeDelivery(e Event) {
@@ -27,12 +27,12 @@
 		return
 	}
 	p := d.processes.pauses[e.Proxy]
-	for i := 0; i+1 < len(p); i += 2 { // what is delivered to a paused process it reads when it continues
+	for i := 0; i+1 < len(p); i += 2 { // a paused process reads a notification only when it continues
 		if since >= p[i]-d.grace && since <= p[i+1] {
 			since = max(since, p[i+1])
 		}
 	}
 	if e.At > since+d.grace+timingSlack {
-		d.violate(DrainRule, e, "node %s took request %s from proxy %d %v after that was told", e.Node, e.RequestID, e.Proxy, e.At-since)
+		d.violate(DrainRule, e, "node %s received request %s from proxy %d %v after the proxy was notified of the drain", e.Node, e.RequestID, e.Proxy, e.At-since)
 	}
 }
--- a/internal/emulator/effect_check.go
+++ b/internal/emulator/effect_check.go
@@ -3,13 +3,13 @@
 // effectCheck checks SingleEffectRule.
 type effectCheck struct {
 	*findings
-	processes *processHistory
-	executions      map[string]int // by idempotency key, or by request where it has none
-	kills    map[string]int // by request, how often its proxy was killed under it
+	processes  *processHistory
+	executions map[string]int // by idempotency key, or by request ID if the write has none
+	kills      map[string]int // by request, number of times that its proxy was killed before it replied
 }
 
-// observeClosed notes that a request's proxy was killed under it: the client asks again, and that a write without an
-// idempotency key is carried out once more by that is not the proxies' doing.
+// observeClosed records that the proxy of a request was killed before it replied. The client then sends the request again,
+// and a write without an idempotency key is executed once more, which is not a fault of the proxies.
 func (c *effectCheck) observeClosed(e Event) {
 	if c.processes.wasKilled(e.Proxy, e.At-killWindow, e.At+killWindow) {
 		c.kills[e.RequestID]++
@@ -22,6 +22,6 @@
 		write = e.RequestID
 	}
 	if c.executions[write]++; c.executions[write] > 1+c.kills[write] {
-		c.violate(SingleEffectRule, e, "write %s was carried out %d times", write, c.executions[write])
+		c.violate(SingleEffectRule, e, "write %s was executed %d times", write, c.executions[write])
 	}
 }
--- a/internal/emulator/process_check.go
+++ b/internal/emulator/process_check.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// processCheck checks the rules on proxy processes that they report themselves, or that are seen from outside.
+// processCheck checks the rules on proxy processes, from their own reports and from observations of the emulator.
 type processCheck struct {
 	*findings
 	processes *processHistory
 	nodes     int // caches
 }
 
-// maxGoroutines is how many goroutines a proxy may have at the end of a scenario, whose clients have gone: for itself,
-// and for each node and its idle connections.
+// maxGoroutines returns the maximum number of goroutines of a proxy at the end of a scenario, when all clients have left:
+// 100 for the process, and 8 for each node and its idle connections.
 func (p *processCheck) maxGoroutines() float64 { return 100 + 8*float64(p.nodes) }
 
 func (p *processCheck) observe(e Event) {
 	switch e.Kind {
 	case ProcessLate:
-		p.violate(ReadyRule, e, "proxy %d does not serve %v after its start", e.Proxy, readyTimeout)
+		p.violate(ReadyRule, e, "proxy %d is not ready %v after its start", e.Proxy, readyTimeout)
 	case LogReported:
 		if e.Note == noteExcused {
 			return
@@ -24,7 +24,7 @@
 		p.violate(InvariantRule, e, "proxy %d has logged %q %.0f times", e.Proxy, e.Note, e.Figure)
 	case BadClientIgnored:
 		if !p.processes.wasPaused(e.Proxy, e.At-malformedTimeout, e.At) && !p.processes.wasKilled(e.Proxy, e.At-malformedTimeout-killWindow, e.At+killWindow) {
-			p.violate(BadClientRule, e, "proxy %d neither told a bad client nor closed on it: %s", e.Proxy, e.Note)
+			p.violate(BadClientRule, e, "proxy %d neither sent an error to a bad client nor closed its connection: %s", e.Proxy, e.Note)
 		}
 	case LimitExceeded:
 		rule := MemoryRule
@@ -34,7 +34,7 @@
 		p.violate(rule, e, "proxy %d used %.0f %s, over its limit, and was killed", e.Proxy, e.Figure, e.Note)
 	case ProcessHung:
 		if span := time.Duration(e.Figure * float64(time.Second)); !p.processes.wasPaused(e.Proxy, e.At-span, e.At) {
-			p.violate(HungRule, e, "proxy %d answered nobody for %v", e.Proxy, span)
+			p.violate(HungRule, e, "proxy %d did not reply to pings for %v", e.Proxy, span)
 		}
 	case CommandInvented:
 		p.violate(InventedRule, e, "node %s has received %s, which no client has sent", e.Node, e.Note)
@@ -47,7 +47,7 @@
 			limit = p.processes.excused[e.Proxy]
 		}
 		if e.Figure > limit {
-			p.violate(ResidueRule, e, "proxy %d: %s is %.0f at the end, over %.0f", e.Proxy, e.Note, e.Figure, limit)
+			p.violate(ResidueRule, e, "proxy %d: %s is %.0f at the end, limit %.0f", e.Proxy, e.Note, e.Figure, limit)
 		}
 	}
 }
--- a/internal/emulator/quota_check.go
+++ b/internal/emulator/quota_check.go
@@ -4,18 +4,19 @@
 	"time"
 )
 
-// quotaWindow is the time over which the least quota that a proxy reported counts.
+// quotaWindow is the time over which the least reported quota of a proxy is taken.
 const quotaWindow = time.Second
 
 // quotaCheck checks QuotaRule.
 type quotaCheck struct {
 	*findings
-	reports  map[int][]Event // by proxy that runs, of the last quotaWindow
-	exceeded bool            // one violation is enough
+	reports  map[int][]Event // by running proxy, reports of the last quotaWindow
+	exceeded bool            // the sum was exceeded; only the first violation is reported
 }
 
-// observeReport adds up the least quota that each proxy reported within the window: proxies are polled one after the other, and a
-// quota that shrinks makes room for another that grows.
+// observeReport adds up the least quota that each proxy reported within quotaWindow. Latest quotas would not do: proxies are
+// polled one after another, so a quota that has already grown would be added to one that has shrunk since its proxy was
+// polled.
 func (q *quotaCheck) observeReport(e Event) {
 	recent := append(q.reports[e.Proxy], e) //nolint:gocritic // stored below
 	for recent[0].At < e.At-quotaWindow {
@@ -32,6 +33,6 @@
 	}
 	if sum > maxQuotaSum && !q.exceeded {
 		q.exceeded = true
-		q.violate(QuotaRule, Event{At: e.At}, "%d proxies say that they may use %.3f of the fleet's limits", len(q.reports), sum)
+		q.violate(QuotaRule, Event{At: e.At}, "the quotas of %d proxies add up to %.3f of the fleet's limits", len(q.reports), sum)
 	}
 }
--- a/internal/emulator/slow_start_check.go
+++ b/internal/emulator/slow_start_check.go
@@ -8,7 +8,7 @@
 // arrival is a command that a node received.
 type arrival struct {
 	at       time.Duration
-	informed bool // its proxy had been notified of the node's start
+	informed bool // its proxy had been notified that the node is active
 }
 
 // slowStartCheck checks SlowStartRule.
@@ -16,10 +16,10 @@
 	*findings
 	fleet      Fleet
 	begins     map[string]Event     // by node, its latest slow start
-	arrivals   map[string][]arrival // by node, of the last overloadWindow
-	startKnown map[proxyNode]bool   // a proxy was notified of a node's latest start
-	overloaded map[string]bool      // nodes whose further load tells nothing
-	peak       float64              // greatest load, as a part of what overloads
+	arrivals   map[string][]arrival // by node, commands of the last overloadWindow
+	startKnown map[proxyNode]bool   // proxies that were notified of the latest start of a node
+	overloaded map[string]bool      // nodes whose overload was detected; their later arrivals are ignored
+	peak       float64              // maximum load, as a fraction of the overload limit
 }
 
 func (s *slowStartCheck) observeBegin(e Event) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// observeArrival counts an overload as a violation where more than two thirds of the commands came from proxies that knew of the
-// node's start.
+// observeArrival checks the load of a node in slow start. An overload is a violation if more than two thirds of the commands
+// came from proxies that had been notified of the node's start.
 func (s *slowStartCheck) observeArrival(e Event) {
 	begin, starting := s.begins[e.Node]
 	if !starting || s.overloaded[e.Node] || e.At > begin.At+seconds(s.fleet.SlowStartS) {
@@ -64,12 +64,13 @@
 	}
 	if 3*informed > 2*len(recent) {
 		s.violate(SlowStartRule, Event{At: e.At},
-			"node %s, cold for %v, took %d commands in %v, %d of them from proxies that knew; %.0f are allowed",
+			"node %s, %v into its slow start, received %d commands in %v, %d of them from notified proxies, limit %.0f",
 			e.Node, e.At-begin.At, len(recent), overloadWindow, informed, limit)
 	}
 }
 
-// limit returns how many commands within overloadWindow a node bears at an age, by its full capacity in commands a second.
+// limit returns the maximum number of commands within overloadWindow for a node at an age in its slow start.
+// commandsPerSecond is its full capacity.
 func (s *slowStartCheck) limit(age time.Duration, commandsPerSecond float64) float64 {
 	speed := s.fleet.InitialSpeed
 	if slowStart := seconds(s.fleet.SlowStartS); slowStart > 0 {
@@ -82,5 +83,5 @@
 	return mean + 2*math.Sqrt(mean) + 2
 }
 
-// smallMean is the mean below which chance is allowed more.
+// smallMean is the expected number of commands below which a larger random variation is tolerated.
 const smallMean = 30
