--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -10,24 +10,24 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Request is a request that a client makes, settled before the scenario begins.
+// Request is a request of a client, drawn before the scenario begins.
 type Request struct {
-	At          time.Duration // from the scenario's start
+	At          time.Duration // since the start of the scenario
 	ID          string
 	Key         string
-	Route       int           // index of the scenario's route
-	Proxy       int           // index of the proxy that it is sent to
-	LeavesAfter time.Duration // the client leaves so long after sending it; 0: it waits
-	Dripped     bool          // it is written byte by byte
+	Route       int           // index of the route in the scenario
+	Proxy       int           // index of the proxy to which it is sent
+	LeavesAfter time.Duration // time after sending at which the client leaves; 0: it waits for the reply
+	Dripped     bool          // the client writes it byte by byte
 }
 
-// FaultEvent is a fault and its targets.
+// FaultEvent is a fault with its drawn targets.
 type FaultEvent struct {
 	Fault
 	Targets []int // indexes of nodes or proxies
 }
 
-// Plan is a scenario whose random choices are made.
+// Plan is a scenario with all its random choices made.
 type Plan struct {
 	Scenario *Scenario
 	Seed     uint64
@@ -35,12 +35,12 @@
 	Faults   []FaultEvent
 }
 
-// NewPlan makes a scenario's random choices by a seed; the same seed gives the same plan.
+// NewPlan makes the random choices of a scenario from a seed. The same seed yields the same plan.
 func (d *Scenario) NewPlan(seed uint64) *Plan {
 	return &Plan{Scenario: d, Seed: seed, Requests: d.drawRequests(seed), Faults: d.drawFaults(seed)}
 }
 
-// drawRequests draws Poisson arrivals at the highest rate, and thins them to the rate of each moment.
+// drawRequests draws Poisson arrivals at the maximum rate and thins them to the rate at each time.
 func (d *Scenario) drawRequests(seed uint64) (requests []Request) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	zipf := rand.NewZipf(rand.New(rand.NewPCG(seed, 2)), d.Keys.Zipf, 8, uint64(d.Keys.Count-1))
@@ -76,7 +76,7 @@
 	return events
 }
 
-// drawTargets draws the nodes or proxies that a fault affects. A zone's fault has the zone's proxies as its targets.
+// drawTargets draws the nodes or proxies that a fault affects. The targets of a fault of a zone are the proxies of the zone.
 func (d *Scenario) drawTargets(fault Fault, random *rand.Rand) (targets []int) {
 	candidates := d.Fleet.Nodes
 	if proxyFaults[fault.Kind] {
@@ -92,7 +92,7 @@
 		return targets
 	case faultKinds[fault.Kind].some && fault.Count == 0:
 		return random.Perm(candidates)
-	case slices.Contains([]string{"slow-clients", "whisper", "link", "bursts", "origin-resets"}, fault.Kind): // they have none
+	case slices.Contains([]string{"slow-clients", "whisper", "link", "bursts", "origin-resets"}, fault.Kind): // these have no targets
 		return nil
 	default:
 		return random.Perm(candidates)[:min(fault.Count, candidates)]
@@ -101,7 +101,7 @@
 
 func keyName(n uint64) string { return fmt.Sprintf("k%d", n) }
 
-// rateAt returns the rate at a time in seconds.
+// rateAt returns the request rate at a time in seconds since the start of the scenario.
 func (d *Scenario) rateAt(at float64) float64 {
 	times := 1.0
 	for _, s := range d.Load.Steps {
@@ -112,7 +112,7 @@
 	return d.Load.Rate * times
 }
 
-// pickRoute returns the index of the route at a point in [0, 1) of the shares put end to end.
+// pickRoute maps a point in [0, 1) to a route: the routes divide this interval in order, each in proportion to its share.
 func (d *Scenario) pickRoute(point float64) int {
 	for i, r := range d.Routes {
 		if point -= r.Share; point < 0 {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -9,7 +9,7 @@
 	"woodproxy/internal/configfile"
 )
 
-// Scenario is a scenario as its TOML file describes it. Times whose key ends in _s are seconds, in _ms milliseconds.
+// Scenario is the content of a scenario file in TOML. Keys that end in _s hold seconds, keys that end in _ms milliseconds.
 type Scenario struct {
 	Name          string                `toml:"name"`
 	LengthS       float64               `toml:"length_s"`
@@ -26,98 +26,100 @@
 	Duties        DutySettings          `toml:"turns"`
 	NegativeCache NegativeCacheSettings `toml:"missing"`
 	State         bool                  `toml:"state"` // proxies keep a state file across restarts
-	Admin         bool                  `toml:"admin"` // proxies serve operators' calls, by which what they hold is seen at the end
+	Admin         bool                  `toml:"admin"` // proxies have an admin server, which is scraped at the end
 }
 
-// NegativeCacheSettings configures keys that the origin lacks until they are written, and the proxies' negative cache.
+// NegativeCacheSettings configures absent keys, which the origin lacks until they are written, and the proxies' negative
+// cache.
 type NegativeCacheSettings struct {
-	AbsentPart float64 `toml:"part"` // of all keys, 0 to 1
+	AbsentPart float64 `toml:"part"` // fraction of the keys that are absent
 	On         bool    `toml:"on"`   // proxies have a negative cache
 }
 
-// How the proxies decide that a whole zone is unhealthy, besides "" where they do not.
+// Values of ZoneHealthSettings.Decision: who decides that a zone is unhealthy. With "" nothing decides it.
 const (
 	zonesJudgedAlone       = "alone" // each proxy by itself
 	zonesJudgedByFleet     = "fleet" // by a vote of the proxies
-	zonesJudgedByOperators = "told"  // by operators, who learn of a fault at once
+	zonesJudgedByOperators = "told"  // by operators, who are notified of a fault immediately
 )
 
-// ZoneHealthSettings configures the proxies' zone health.
+// ZoneHealthSettings configures zone health in the proxies.
 type ZoneHealthSettings struct {
 	Decision string              `toml:"judged"`
-	Regions  map[string][]string `toml:"regions"` // names of zones by region
+	Regions  map[string][]string `toml:"regions"` // zone names by region
 }
 
 // GossipSettings configures the gossip between proxies.
 type GossipSettings struct {
 	On         bool    `toml:"talk"`
-	HoldDownS  float64 `toml:"hold_s"` // hold-down time, 0: the proxies' default
-	QuotaFloor float64 `toml:"floor"`  // quota floor, 0: the proxies' default
+	HoldDownS  float64 `toml:"hold_s"` // hold-down time; 0: the proxies' default
+	QuotaFloor float64 `toml:"floor"`  // quota floor; 0: the proxies' default
 }
 
-// DutySettings configures the duties, such as health checks and discovery watches, that gossiping proxies share out among themselves.
+// DutySettings configures the duties, such as health checks and discovery watches, that gossiping proxies distribute among
+// themselves.
 type DutySettings struct {
 	On       bool `toml:"on"`
-	Watchers int  `toml:"watchers"` // proxies that watch discovery
-	Owners   int  `toml:"keepers"`  // proxies that keep idle connections to a node
+	Watchers int  `toml:"watchers"` // number of proxies that watch discovery
+	Owners   int  `toml:"keepers"`  // number of proxies that keep idle connections to a node
 }
 
 // NodeCapacity is the capacity of a node.
 type NodeCapacity struct {
 	Cores     int     `toml:"cores"`
 	ServiceMS float64 `toml:"service_ms"` // mean of the exponentially distributed service time
-	Queue     int     `toml:"queue"`      // commands that may wait beyond those in service
-	Thrash    float64 `toml:"thrash"`     // part by which each waiting command slows the others
+	Queue     int     `toml:"queue"`      // maximum number of waiting commands, in addition to those in service
+	Thrash    float64 `toml:"thrash"`     // fraction of the service time that each waiting command adds
 }
 
-// Fleet is the caches.
+// Fleet describes the caches.
 type Fleet struct {
 	Nodes        int      `toml:"nodes"`
-	Zones        []string `toml:"zones"`     // dealt out to nodes and proxies in turn
+	Zones        []string `toml:"zones"`     // assigned to nodes and proxies in turn
 	CrossZoneMS  float64  `toml:"cross_ms"`  // additional delay between zones
 	SlowStartS   float64  `toml:"cold_s"`    // duration of a node's slow start
-	InitialSpeed float64  `toml:"cold_from"` // part of its speed that a node starts with
+	InitialSpeed float64  `toml:"cold_from"` // speed at the beginning of the slow start, as a fraction of the full speed
 	NodeCapacity
 }
 
-// Keys is the key space.
+// Keys describes the key space.
 type Keys struct {
 	Count      int     `toml:"count"`
-	Zipf       float64 `toml:"zipf"` // exponent of the popularity's distribution
-	CachedPart float64 `toml:"warm"` // part of the keys that each cache has at the start
-	ValueBytes int     `toml:"size"` // of values, in bytes
+	Zipf       float64 `toml:"zipf"` // exponent of the Zipf distribution of key popularity
+	CachedPart float64 `toml:"warm"` // fraction of the keys that each cache holds at the start
+	ValueBytes int     `toml:"size"` // size of a value
 }
 
-// Load is the clients' load.
+// Load describes the load that the clients generate.
 type Load struct {
-	Rate        float64 `toml:"rate"` // requests a second, of all clients
+	Rate        float64 `toml:"rate"` // requests per second of all clients
 	Steps       []Step  `toml:"steps"`
-	LeavingPart float64 `toml:"impatient"` // part of the requests whose client leaves before the answer may come
-	// DrippedPart is the part of the requests that are written byte by byte.
+	LeavingPart float64 `toml:"impatient"` // fraction of the requests whose client leaves after a quarter of the timeout
+	// DrippedPart is the fraction of the requests that are written byte by byte.
 	DrippedPart float64 `toml:"dripped"`
-	// Connections is how many clients of each proxy hold a connection throughout and use them in turn; 0: connections are made
-	// as they are needed.
+	// Connections is the number of connections to each proxy that clients hold throughout and use in turn. With 0, connections
+	// are opened when they are needed.
 	Connections int `toml:"connections"`
 }
 
-// Step multiplies the rate from a time on.
+// Step multiplies the base rate by Factor from a time on, until the next step.
 type Step struct {
 	AtS    float64 `toml:"at_s"`
 	Factor float64 `toml:"times"`
 }
 
-// Route is a class of requests.
+// Route describes a class of requests.
 type Route struct {
 	Name        string  `toml:"name"`
-	Share       float64 `toml:"share"` // of the requests; the shares of all routes add up to 1
+	Share       float64 `toml:"share"` // fraction of the requests; the shares of all routes add up to 1
 	ObjectiveMS float64 `toml:"objective_ms"`
 	TimeoutMS   float64 `toml:"overall_ms"` // overall timeout
 	Weight      float64 `toml:"value"`      // priority weight
 	Write       bool    `toml:"write"`
-	DedupMS     float64 `toml:"dedup_ms"` // for how long the origin drops repeats of an idempotency key, 0: it does not
+	DedupMS     float64 `toml:"dedup_ms"` // time for which the origin drops repeats of an idempotency key; 0: it drops none
 }
 
-// Limits bind each proxy.
+// Limits are the resource limits of each proxy.
 type Limits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB int     `toml:"memory_mb"`
@@ -125,28 +127,28 @@
 	Hedging  bool    `toml:"parallel"` // hedged attempts are allowed
 }
 
-// Fault is a fault that lasts for a time. Which figures a fault takes depends on its kind.
+// Fault describes a fault that lasts for a time. The kind determines the parameters that the fault takes.
 type Fault struct {
 	Kind      string  `toml:"kind"`
 	AtS       float64 `toml:"at_s"`
 	DurationS float64 `toml:"for_s"`
-	Count     int     `toml:"nodes"` // number of nodes, proxies or clients
-	Slowdown  float64 `toml:"times"` // factor by which nodes are slower
-	Part      float64 `toml:"part"`  // of commands or packets that are affected, 0 to 1
-	Rate      float64 `toml:"rate"`  // events a second
+	Count     int     `toml:"nodes"` // number of affected nodes or proxies, or of clients
+	Slowdown  float64 `toml:"times"` // factor on the service time
+	Part      float64 `toml:"part"`  // fraction of the commands, system calls or packets that are affected
+	Rate      float64 `toml:"rate"`  // events per second
 	LeaveMS   float64 `toml:"leave_ms"`
-	StepS     float64 `toml:"step_s"`  // of the wall clock, either way
-	Variant   int     `toml:"variant"` // which of its errors a failing system call returns
+	StepS     float64 `toml:"step_s"`  // step of the wall clock, positive or negative
+	Variant   int     `toml:"variant"` // selects the error that a failing system call returns
 
-	// Of faults that affect many processes.
+	// Parameters of faults that affect many processes.
 
 	Zone         string  `toml:"zone"`
-	SpreadS      float64 `toml:"spread_s"` // over which killed proxies start again
-	ResetStreams bool    `toml:"reset"`    // streams over a severed link are reset when it heals, else they go on
-	Refuses      bool    `toml:"dead"`     // a lost zone refuses connections as dead processes do, else it is silent as lost machines are
-	LosesData    bool    `toml:"cold"`     // nodes of a lost zone come back empty
+	SpreadS      float64 `toml:"spread_s"` // time over which the restarts of killed proxies are spread
+	ResetStreams bool    `toml:"reset"`    // streams over a severed link are reset when it heals; otherwise they continue
+	Refuses      bool    `toml:"dead"`     // a lost zone refuses connections as dead processes do; otherwise it is silent
+	LosesData    bool    `toml:"cold"`     // nodes of a lost zone return without their data
 
-	// Of link faults: patterns of process names, as path.Match reads them.
+	// Parameters of link faults. From and To are path.Match patterns of process names.
 
 	From       []string `toml:"from"`
 	To         []string `toml:"to"`
@@ -154,12 +156,12 @@
 	MaxDelayMS float64  `toml:"slow_ms"`
 }
 
-// delaysLinks reports whether a fault holds back what is on its way between processes.
+// delaysLinks reports whether a fault may delay traffic between processes.
 func (d *Scenario) delaysLinks() bool {
 	return slices.ContainsFunc(d.Faults, func(fault Fault) bool { return linkFaultKinds[fault.Kind] })
 }
 
-// drainGrace is from when on a draining node receives nothing, after its proxy was notified.
+// drainGrace returns the time after the notification of a proxy from which on a draining node must receive nothing from it.
 func (d *Scenario) drainGrace() time.Duration {
 	breaks := slices.ContainsFunc(d.Faults, func(fault Fault) bool { return fault.Kind == "break-conns" })
 	if breaks {
@@ -168,24 +170,24 @@
 	return drainGrace
 }
 
-// linkFaultKinds are the kinds of faults that lie on links.
+// linkFaultKinds are the kinds of faults that affect links.
 var linkFaultKinds = map[string]bool{
 	"part": true, "one-way": true, "lossy": true, "zone-cut": true, "zone-lost": true, "zone-grey": true, "link": true,
 }
 
-// NeedsGossip reports whether a fault has an effect only where proxies gossip.
+// NeedsGossip reports whether the fault has an effect only if the proxies gossip.
 func (f Fault) NeedsGossip() bool {
 	return f.Kind == "part" || f.Kind == "one-way" || f.Kind == "lossy" || f.Kind == "whisper"
 }
 
-// faultParameters is which figures a kind of fault takes.
+// faultParameters holds which parameters a kind of fault takes.
 type faultParameters struct {
 	nodes, times, part, rate, zone, step bool
 
-	some bool // nodes is optional, and without it all are targets
+	some bool // nodes is optional; without it all candidates are targets
 }
 
-// faultKinds holds every kind of fault.
+// faultKinds maps each kind of fault to the parameters it takes.
 var faultKinds = map[string]faultParameters{
 	"silent":        {nodes: true},
 	"slow":          {nodes: true, times: true},
@@ -236,10 +238,11 @@
 	"clock-step":    {nodes: true, step: true},
 }
 
-// minFaultPart is the least part of fault kinds for which 0 would mean no fault; a link may be delayed without loss.
+// minFaultPart is the minimum of Fault.Part for kinds of faults that have no effect at 0. It has no entry for link faults,
+// since these may delay traffic without loss.
 var minFaultPart = map[string]float64{"failing": 0.001, "reset": 0.001, "garbled": 0.001, "halves": 0.001, "lossy": 0.001}
 
-// proxyFaults are the kinds whose targets are proxies, or their discovery agents, in place of nodes.
+// proxyFaults are the kinds of faults whose targets are proxies or their discovery agents instead of nodes.
 var proxyFaults = map[string]bool{
 	"kill": true, "restart": true, "crowd": true, "part": true, "one-way": true, "pause": true, "mass-kill": true,
 	"deaf": true, "stale": true, "refusing": true, "hush": true, "agent-ahead": true, "garbled-list": true, "cut-watch": true,
@@ -247,20 +250,20 @@
 	"interrupt": true, "short-read": true, "short-write": true, "fail-disk": true, "fail-sync": true, "clock-step": true,
 }
 
-// ReadScenario reads and checks a scenario file. An error is one line that names the file, and the line or key.
+// ReadScenario reads and checks a scenario file. An error is a single line that names the file, and the line or the key.
 func ReadScenario(file string) (*Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("day: %w", err)
+		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	d, err := ParseScenario(text)
 	if err != nil {
-		return nil, fmt.Errorf("day: %s: %w", file, err)
+		return nil, fmt.Errorf("scenario: %s: %w", file, err)
 	}
 	return d, nil
 }
 
-// ParseScenario decodes and checks a scenario.
+// ParseScenario decodes a scenario in TOML and checks it.
 func ParseScenario(text []byte) (*Scenario, error) {
 	d := &Scenario{Limits: Limits{Cores: 1, MemoryMB: 128, Sockets: 1024}}
 	if err := configfile.DecodeTOML(text, d); err != nil {
--- a/internal/emulator/scenario_check.go
+++ b/internal/emulator/scenario_check.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// maxNodes is how many caches a scenario may have.
+// maxNodes is the maximum number of caches in a scenario.
 const maxNodes = 4096
 
-// scenarioChecker checks a scenario key by key and keeps the first error.
+// scenarioChecker checks a scenario key by key and stores the first error.
 type scenarioChecker struct {
 	scenario *Scenario
 	err      error
 }
 
-// Check returns the first error of a scenario; it names the key.
+// Check returns the first error in the scenario, or nil. The error names the key.
 func (d *Scenario) Check() error {
 	if d.Name == "" {
 		return errors.New("name: missing")
@@ -35,23 +35,23 @@
 	return c.err
 }
 
-// fail keeps an error unless there was one before.
+// fail stores an error if it is the first one.
 func (c *scenarioChecker) fail(format string, args ...any) {
 	if c.err == nil {
 		c.err = fmt.Errorf(format, args...)
 	}
 }
 
-// require keeps an error where a condition does not hold.
+// require stores an error if a condition does not hold.
 func (c *scenarioChecker) require(ok bool, format string, args ...any) {
 	if !ok {
 		c.fail(format, args...)
 	}
 }
 
-// inRange requires a value to be within bounds, both inclusive; NaN is not.
+// inRange requires a value to be within bounds, both inclusive. NaN is out of range.
 func (c *scenarioChecker) inRange(key string, v, low, high float64) {
-	if !(v >= low && v <= high) { // the negation is what refuses NaN
+	if !(v >= low && v <= high) { // negated so that NaN is rejected
 		c.fail("%s: %v: not from %v to %v", key, v, low, high)
 	}
 }
@@ -74,15 +74,16 @@
 	c.inRange("load.connections", float64(d.Load.Connections), 0, 20000)
 }
 
-// checkFeatures checks what proxies do together, for which they need gossip, and the limits of each.
+// checkFeatures checks the settings of features that the proxies share, most of which need gossip, and the limits of each
+// proxy.
 func (c *scenarioChecker) checkFeatures() {
 	d, mode := c.scenario, c.scenario.ZoneHealth.Decision
 	known := mode == "" || mode == zonesJudgedAlone || mode == zonesJudgedByFleet || mode == zonesJudgedByOperators
-	c.require(known && (mode == "" || len(d.Fleet.Zones) >= 2), "zones.judged: %q: not alone, fleet or told, or there are no zones", mode)
+	c.require(known && (mode == "" || len(d.Fleet.Zones) >= 2), "zones.judged: %q: must be alone, fleet or told, and fleet.zones must name two zones or more", mode)
 	c.require(d.Gossip.On || mode != zonesJudgedByFleet && mode != zonesJudgedByOperators,
-		"zones.judged: %s: proxies do not talk (peers.talk)", mode)
-	c.require(d.Gossip.On || !d.Duties.On, "turns.on: proxies do not talk (peers.talk)")
-	c.require(d.Gossip.On || !d.NegativeCache.On || d.Proxies <= 1, "missing.on: proxies do not talk (peers.talk)")
+		"zones.judged: %s: proxies do not gossip (peers.talk)", mode)
+	c.require(d.Gossip.On || !d.Duties.On, "turns.on: proxies do not gossip (peers.talk)")
+	c.require(d.Gossip.On || !d.NegativeCache.On || d.Proxies <= 1, "missing.on: proxies do not gossip (peers.talk)")
 	c.inRange("missing.part", d.NegativeCache.AbsentPart, 0, 1)
 	c.inRange("turns.watchers", float64(d.Duties.Watchers), 0, 64)
 	c.inRange("turns.keepers", float64(d.Duties.Owners), 0, 64)
@@ -110,7 +111,7 @@
 	for i, s := range steps {
 		c.inRange(fmt.Sprintf("load.steps[%d].at_s", i), s.AtS, 0, c.scenario.LengthS)
 		c.inRange(fmt.Sprintf("load.steps[%d].times", i), s.Factor, 0, 100)
-		c.require(i == 0 || s.AtS > steps[i-1].AtS, "load.steps[%d].at_s: not after the one before", i)
+		c.require(i == 0 || s.AtS > steps[i-1].AtS, "load.steps[%d].at_s: not after the previous step", i)
 	}
 }
 
@@ -125,14 +126,14 @@
 		c.inRange(key+"objective_ms", route.ObjectiveMS, 10, route.TimeoutMS)
 		c.inRange(key+"value", route.Weight, 0, 1e6)
 		c.inRange(key+"dedup_ms", route.DedupMS, 0, 600000)
-		c.require(route.DedupMS <= 0 || route.Write, "%sdedup_ms: a read needs none", key)
-		c.require(route.Name != "" && !names[route.Name], "%sname: missing or doubled", key)
+		c.require(route.DedupMS <= 0 || route.Write, "%sdedup_ms: a read takes none", key)
+		c.require(route.Name != "" && !names[route.Name], "%sname: missing or duplicate", key)
 		sum, names[route.Name] = sum+route.Share, true
 	}
-	c.require(math.Abs(sum-1) <= 0.001, "route: shares are %v together, not 1", sum)
+	c.require(math.Abs(sum-1) <= 0.001, "route: shares add up to %v, not 1", sum)
 }
 
-// checkFault checks one fault, whose keys begin with a prefix.
+// checkFault checks one fault. The prefix precedes its keys in errors.
 func (c *scenarioChecker) checkFault(prefix string, fault Fault) {
 	d := c.scenario
 	needs, ok := faultKinds[fault.Kind]
@@ -147,10 +148,10 @@
 	c.inRange(prefix+"spread_s", fault.SpreadS, 0, d.LengthS)
 	c.require(needs.zone == (fault.Zone != ""), "%szone: missing, or %s takes none", prefix, fault.Kind)
 	c.require(!needs.zone || slices.Contains(d.Fleet.Zones, fault.Zone), "%szone: %q: none of fleet.zones", prefix, fault.Zone)
-	c.require(d.Gossip.On || !fault.NeedsGossip(), "%skind: %s: proxies do not talk (peers.talk)", prefix, fault.Kind)
+	c.require(d.Gossip.On || !fault.NeedsGossip(), "%skind: %s: proxies do not gossip (peers.talk)", prefix, fault.Kind)
 }
 
-// maxTargets returns how many targets a fault may have.
+// maxTargets returns the maximum of the key nodes for a kind of fault.
 func (c *scenarioChecker) maxTargets(kind string) int {
 	switch {
 	case kind == "slow-clients" || kind == "whisper":
@@ -162,7 +163,7 @@
 	}
 }
 
-// checkFaultParameters checks that a fault has the figures that its kind needs, and no others.
+// checkFaultParameters checks that a fault has the parameters that its kind needs, and no others.
 func (c *scenarioChecker) checkFaultParameters(prefix string, fault Fault) {
 	needs := faultKinds[fault.Kind]
 	for _, figure := range []struct {
@@ -185,13 +186,13 @@
 	}
 }
 
-// checkFaultLinks checks the patterns of process names between which a fault of kind link lies.
+// checkFaultLinks checks the patterns of process names that select the links of a fault of kind link.
 func (c *scenarioChecker) checkFaultLinks(prefix string, fault Fault) {
 	named := len(fault.From) > 0 && len(fault.To) > 0
 	c.require((fault.Kind == "link") == named, "%sfrom, to: missing, or %s takes none", prefix, fault.Kind)
 	for _, pattern := range slices.Concat(fault.From, fault.To) {
 		_, err := path.Match(pattern, "n0")
 		ofProcess := strings.ContainsAny(pattern[:min(len(pattern), 1)], "ncdo*")
-		c.require(err == nil && ofProcess, "%sfrom, to: %q: no name of a process", prefix, pattern)
+		c.require(err == nil && ofProcess, "%sfrom, to: %q: not a pattern of process names", prefix, pattern)
 	}
 }
