--- a/internal/emulator/bad_clients.go
+++ b/internal/emulator/bad_clients.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// malformedRequests is what malformed clients send.
+// malformedRequests are the byte sequences that malformed clients send.
 var malformedRequests = []string{
 	"GET / HTTP/1.1\r\n\r\n",
 	"*4\r\n$6\r\nKV.GET\r\n$-5\r\n",
@@ -23,20 +23,21 @@
 	"*4\r\n$6\r\nKV.",
 }
 
-// malformedTimeout is how long a proxy may take to answer a malformed request or close on it.
+// malformedTimeout is the time within which a proxy must reply to a malformed request or close the connection.
 const malformedTimeout = 3 * time.Second
 
-// sendMalformed sends the i-th malformed request, and reports whether it was answered with an error or closed on in time.
+// sendMalformed sends the i-th malformed request. It reports whether the proxy replied with an error or closed the
+// connection within malformedTimeout, or was down.
 func sendMalformed(address string, i int) bool {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return true // the proxy is down
 	}
-	defer func() { _ = conn.Close() }() // the answer has been read
+	defer func() { _ = conn.Close() }() // the reply has been read
 	if err := conn.SetDeadline(time.Now().Add(malformedTimeout)); err != nil {
 		return false
 	}
-	_, _ = io.WriteString(conn, malformedRequests[i%len(malformedRequests)]) // where it is closed on, the read tells
+	_, _ = io.WriteString(conn, malformedRequests[i%len(malformedRequests)]) // the read below reports a closed connection
 	first, err := bufio.NewReader(conn).ReadByte()
 	if err != nil {
 		return !errors.Is(err, os.ErrDeadlineExceeded)
@@ -46,17 +47,18 @@
 
 const (
 	slowReaderRequests = 64
-	slowReadSize       = 16 // bytes at a time
+	slowReadSize       = 16 // bytes per read
 	slowReadInterval   = 100 * time.Millisecond
 )
 
-// readSlowly is a client that pipelines requests and hardly reads the answers, until its connection or the context ends.
+// readSlowly emulates a client that pipelines requests and reads the replies slowly. It returns when its connection or the
+// context ends.
 func readSlowly(ctx context.Context, address, id string, route Route, sent *sentCommands) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return
 	}
-	closeConn := func() { _ = conn.Close() } // whichever call comes second fails
+	closeConn := func() { _ = conn.Close() } // the second call fails
 	defer closeConn()
 	defer context.AfterFunc(ctx, closeConn)()
 	for i := range slowReaderRequests {
@@ -77,11 +79,12 @@
 }
 
 const (
-	burstRequests = 40
-	maxBurstDuration  = 30 * time.Millisecond
+	burstRequests    = 40
+	maxBurstDuration = 30 * time.Millisecond
 )
 
-// sendBurst is a client that sends many requests at once and leaves a moment later, without reading.
+// sendBurst emulates a client that sends many requests at once and closes its connection within maxBurstDuration without
+// reading.
 func (r *runner) sendBurst(proxy, number int) {
 	conn, err := net.DialTimeout("tcp", r.load.addresses[proxy], dialTimeout)
 	if err != nil {
@@ -97,15 +100,15 @@
 		r.cluster.sent.record(ids[i], command)
 		commands = append(commands, command.encode(ids[i])...)
 	}
-	_, _ = conn.Write(commands) // it leaves in any case
+	_, _ = conn.Write(commands) // the client leaves even if the write fails
 	time.Sleep(maxBurstDuration * time.Duration(number%4) / 4)
-	_ = conn.Close() // nothing more is expected of it
+	_ = conn.Close() // replies are not read
 	for _, id := range ids {
 		r.log.Record(Event{Kind: ClientLeft, RequestID: id, Proxy: proxy})
 	}
 }
 
-// injectBursts has clients come that send many requests at once and go.
+// injectBursts starts clients that send a burst of requests and leave, at the rate of the fault until it ends.
 func (r *runner) injectBursts(ctx context.Context, fault activeFault) {
 	var clients sync.WaitGroup
 	for i := 0; time.Now().Before(fault.endsAt) && ctx.Err() == nil; i++ {
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request from the view of its client.
 type Outcome string
 
 // Outcomes of requests.
 const (
-	Completed         Outcome = "completed" // answered with success, in time or not
-	Rejected          Outcome = "shed"      // answered as rejected by load shedding
-	Failed            Outcome = "errored"   // answered with another error
-	Unanswered        Outcome = "lost"      // not answered
-	Abandoned         Outcome = "left"      // the client left before the answer
+	Completed         Outcome = "completed" // successful reply, in time or late
+	Rejected          Outcome = "shed"      // reply that load shedding rejected the request
+	Failed            Outcome = "errored"   // reply with another error
+	Unanswered        Outcome = "lost"      // no reply
+	Abandoned         Outcome = "left"      // the client left before the reply
 	ConnectionRefused Outcome = "refused"   // no proxy accepted a connection
 )
 
-// Result is the outcome of one request. Both times count from when the request was scheduled.
+// Result is the outcome of one request. Latency and SendDelay count from the scheduled time of the request.
 type Result struct {
 	Request   Request
 	Outcome   Outcome
@@ -37,25 +37,25 @@
 const (
 	dialTimeout         = time.Second
 	pingTimeout         = 2 * time.Second
-	lateSendThreshold   = 5 * time.Millisecond   // a request sent later than that shows that the load generator itself ran late
-	clientGrace         = 500 * time.Millisecond // beyond the overall timeout, until a client gives up
-	longReplyTimeout   = 10 * time.Second       // for the rest of an answer that has begun
-	idleProbeTimeout    = 100 * time.Microsecond // within which an end of an idle connection, or an unexpected answer, is seen
+	lateSendThreshold   = 5 * time.Millisecond   // a longer delay shows that the load generator itself was late
+	clientGrace         = 500 * time.Millisecond // after the overall timeout, before a client gives up
+	longReplyTimeout    = 10 * time.Second       // for the rest of a reply that has begun
+	idleProbeTimeout    = 100 * time.Microsecond // for detecting a closed idle connection or an unexpected reply
 	dialAttempts        = 3
 	dialRetryDelay      = 20 * time.Millisecond
 	clientBufferSize    = 2 << 10
 	writtenValue        = "vvvvvvvv"
-	noteDuringReply        = "amid the answer" // ConnectionClosed: in the middle of an answer
-	noteUnexpectedReply = "again"           // AnswerReceived: without another request
+	noteDuringReply     = "during the reply" // ConnectionClosed: during a reply
+	noteUnexpectedReply = "unexpected"       // ReplyReceived: on an idle connection
 )
 
-// loadGenerator sends the plan's requests at their times, whatever has become of earlier ones (open loop).
+// loadGenerator sends the requests of the plan at their scheduled times, whether earlier ones have ended or not (open loop).
 type loadGenerator struct {
 	plan      *Plan
 	log       *EventLog
 	cluster   *cluster
-	available []*atomic.Bool // by proxy: clients are sent to it
-	draining  []*atomic.Bool // by proxy: it was told to end, and clients go on using the connections that they have
+	available []*atomic.Bool // by proxy: clients open connections to it
+	draining  []*atomic.Bool // by proxy: it was signaled to stop, and clients keep using their open connections
 	addresses []string       // by proxy
 	inFlight  sync.WaitGroup
 	start     time.Time // of the scenario
@@ -69,19 +69,19 @@
 	return &loadGenerator{plan: plan, log: log, cluster: c, idle: make([][]*clientConn, plan.Scenario.Proxies)}
 }
 
-// addProxy adds the next proxy, which is not available yet.
+// addProxy adds the next proxy. It is not available at first.
 func (g *loadGenerator) addProxy(address string) {
 	g.available, g.draining = append(g.available, &atomic.Bool{}), append(g.draining, &atomic.Bool{})
 	g.addresses = append(g.addresses, address)
 }
 
-// clientConn is a client's connection.
+// clientConn is the connection of a client to a proxy.
 type clientConn struct {
 	net.Conn
 	reader        *bufio.Reader
 	proxy         int
-	reused        bool   // it served a request before
-	lastRequestID string // of the latest request on it
+	reused        bool   // it has served an earlier request
+	lastRequestID string // ID of the latest request on the connection
 }
 
 func (g *loadGenerator) dial(proxy int) (*clientConn, error) {
@@ -92,10 +92,10 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReaderSize(conn, clientBufferSize), proxy: proxy}, nil
 }
 
-// requestFacts are the facts that a client states of a request, but for its idempotency key.
+// requestFacts returns the facts that a client sends with a request of the route, without the idempotency key.
 func (r Route) requestFacts() string { return fmt.Sprintf("c=%s,t=all,d=%d", r.Name, int(r.TimeoutMS)) }
 
-// run sends the requests, until all are sent or the context ends.
+// run sends the requests at their scheduled times. It returns when all are sent or the context ends.
 func (g *loadGenerator) run(ctx context.Context, start time.Time) {
 	g.start = start
 	for _, request := range g.plan.Requests {
@@ -107,7 +107,7 @@
 	}
 }
 
-// openHeldConns opens the connections that clients hold throughout the scenario.
+// openHeldConns opens the connections that clients hold throughout the scenario, and pings the proxy on each.
 func (g *loadGenerator) openHeldConns() error {
 	for proxy := range g.addresses {
 		for range g.plan.Scenario.Load.Connections {
@@ -116,7 +116,7 @@
 				return err
 			}
 			if err := conn.ping(); err != nil {
-				return fmt.Errorf("a client is not let in: %w", errors.Join(err, conn.Close()))
+				return fmt.Errorf("proxy did not admit a client connection: %w", errors.Join(err, conn.Close()))
 			}
 			g.idle[proxy] = append(g.idle[proxy], conn)
 		}
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// ping checks that the proxy has admitted the connection.
+// ping sends a PING and reads the reply. An error means that the proxy has not admitted the connection.
 func (c *clientConn) ping() error {
 	if err := c.SetDeadline(time.Now().Add(pingTimeout)); err != nil {
 		return err
@@ -136,7 +136,7 @@
 	return err
 }
 
-// close waits for all outcomes and closes the connections.
+// close waits for the requests in flight and closes the idle connections.
 func (g *loadGenerator) close() {
 	g.inFlight.Wait()
 	g.mu.Lock()
@@ -160,7 +160,7 @@
 	g.results = append(g.results, Result{request, outcome, time.Since(scheduledAt), sendDelay})
 }
 
-// pickProxy returns the request's own proxy, or the next that is available.
+// pickProxy returns the index of the first available proxy, starting at the request's own.
 func (g *loadGenerator) pickProxy(request Request) int {
 	for i := range g.available {
 		if proxy := (request.Proxy + i) % len(g.available); g.available[proxy].Load() {
@@ -170,8 +170,8 @@
 	return request.Proxy
 }
 
-// perform sends a request and returns its outcome. It retries on a new connection where the proxy closed an idle one as the
-// request was on its way, and elsewhere where no connection was accepted.
+// perform sends a request and returns its outcome. It retries on a new connection if the proxy closed a reused one before it
+// replied, and picks a proxy again if no connection was accepted.
 func (g *loadGenerator) perform(request Request) Outcome {
 	for attempt := 1; ; attempt++ {
 		conn := g.takeDraining(request.Proxy, attempt == 1)
@@ -193,8 +193,8 @@
 	}
 }
 
-// takeDraining returns an idle connection to a proxy that was told to end, nil where there is none: clients use those that
-// they have for as long as they stay open.
+// takeDraining returns an idle connection to a draining proxy, or nil if there is none. Clients use their connections to a
+// draining proxy for as long as these stay open.
 func (g *loadGenerator) takeDraining(proxy int, mayReuse bool) *clientConn {
 	if !mayReuse || !g.draining[proxy].Load() {
 		return nil
@@ -202,7 +202,7 @@
 	return g.takeUsable(proxy)
 }
 
-// takeConn returns a connection to a proxy, an idle one where it may and there is one.
+// takeConn returns an idle connection to a proxy if mayReuse is set and there is one, else a new one.
 func (g *loadGenerator) takeConn(proxy int, mayReuse bool) (*clientConn, error) {
 	if mayReuse {
 		if conn := g.takeUsable(proxy); conn != nil {
@@ -212,7 +212,8 @@
 	return g.dial(proxy)
 }
 
-// takeUsable returns an idle connection to a proxy that has not ended, nil where there is none.
+// takeUsable removes and returns an idle connection to a proxy that is still open, or nil if there is none. It closes
+// connections that have ended or on which an unexpected reply arrived.
 func (g *loadGenerator) takeUsable(proxy int) *clientConn {
 	for {
 		conn := g.takeIdle(proxy)
@@ -230,12 +231,12 @@
 		if err == nil {
 			g.log.Record(Event{Kind: ReplyReceived, RequestID: conn.lastRequestID, Proxy: proxy, Note: noteUnexpectedReply})
 		}
-		_ = conn.Close() // it has ended or is out of step
+		_ = conn.Close() // it has ended, or a reply matches no request
 	}
 }
 
-// takeIdle removes and returns an idle connection, nil where there is none: held connections are used in turn, others the latest
-// first.
+// takeIdle removes and returns an idle connection, or nil if there is none. Held connections are used in turn, others last
+// in, first out.
 func (g *loadGenerator) takeIdle(proxy int) *clientConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -251,10 +252,10 @@
 	return idle[len(idle)-1]
 }
 
-var errConnClosed = errors.New("connection closed before the answer")
+var errConnClosed = errors.New("connection closed before the reply")
 
-// exchange sends a request on a connection and returns its outcome. The error is errConnClosed where the connection ended before
-// the answer began.
+// exchange sends a request on a connection and returns its outcome. The error is errConnClosed if the connection ended
+// before the reply began.
 func (g *loadGenerator) exchange(conn *clientConn, request Request) (Outcome, error) {
 	route := g.plan.Scenario.Routes[request.Route]
 	timeout := millis(route.TimeoutMS) + clientGrace
@@ -267,7 +268,7 @@
 	content := route.command(request)
 	g.cluster.sent.record(request.ID, content)
 	command := content.encode(request.ID)
-	if request.Dripped && err == nil { // its time counts from its last byte
+	if request.Dripped && err == nil { // the timeout of the proxy starts at the last byte
 		err = conn.drip(command[:len(command)-1])
 		command = command[len(command)-1:]
 	}
@@ -287,14 +288,14 @@
 		head, body, err = ReadElement(conn.reader)
 	}
 	if err != nil {
-		_ = conn.Close() // it has failed
+		_ = conn.Close() // the connection has failed
 		g.log.Record(Event{Kind: ConnectionClosed, RequestID: request.ID, Proxy: conn.proxy, Note: noteDuringReply})
 		return Unanswered, nil
 	}
 	return g.recordReply(conn, request, head, body), nil
 }
 
-// drip writes byte by byte.
+// drip writes text one byte at a time.
 func (c *clientConn) drip(text []byte) error {
 	for i := range text {
 		if _, err := c.Write(text[i : i+1]); err != nil {
@@ -304,13 +305,13 @@
 	return nil
 }
 
-// Names of commands.
+// Names of the commands that clients send.
 const (
 	commandRead  = "KV.GET"
 	commandWrite = "KV.SET"
 )
 
-// command returns the command of a request.
+// command returns the command of a request of the route.
 func (r Route) command(request Request) clientCommand {
 	command := clientCommand{name: commandRead, key: request.Key, facts: r.requestFacts()}
 	if r.Write {
@@ -322,7 +323,7 @@
 	return command
 }
 
-// encode returns the command as a client writes it.
+// encode returns the command in RESP2 as a client writes it.
 func (c *clientCommand) encode(id string) []byte {
 	if c.name == commandWrite {
 		return encodeCommand(c.name, c.key, id, c.facts, c.value)
@@ -330,9 +331,10 @@
 	return encodeCommand(c.name, c.key, id, c.facts)
 }
 
-// recordNoReply closes a connection on which no answer began, for an error, and records why.
+// recordNoReply closes a connection on which an error occurred before a reply began. It records and returns the outcome. The
+// error is errConnClosed unless the client's timeout expired.
 func (g *loadGenerator) recordNoReply(conn *clientConn, request Request, err error) (Outcome, error) {
-	_ = conn.Close() // it has failed, or its client leaves
+	_ = conn.Close() // the connection has failed, or its client leaves
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		note := ""
 		if conn.reused {
@@ -348,7 +350,7 @@
 	return Unanswered, nil
 }
 
-// recordReply records an answer and puts the connection among the idle ones.
+// recordReply records a reply, returns the connection to the idle ones, and returns the outcome.
 func (g *loadGenerator) recordReply(conn *clientConn, request Request, head, body string) Outcome {
 	event, outcome := Event{Kind: ReplyReceived, RequestID: request.ID, Proxy: conn.proxy}, Failed
 	switch {
--- a/internal/emulator/resp.go
+++ b/internal/emulator/resp.go
@@ -9,21 +9,22 @@
 	"strings"
 )
 
-// Bounds on what is read in RESP2.
+// Bounds on the RESP2 input that is accepted.
 const (
 	maxBulkLength   = 64 << 20 // bytes
 	maxCommandWords = 16
-	minCommandWords = 5 // that ReadCommand returns
+	minCommandWords = 5 // minimum length of the result of ReadCommand
 )
 
+// nullBulk is the null bulk string, the reply for an absent key.
 const nullBulk = "$-1"
 
 var (
-	errEmptyLine      = errors.New("an empty line")
-	errConnectionEnds = errors.New("the connection ends with the answer")
+	errEmptyLine      = errors.New("empty RESP2 line")
+	errConnectionEnds = errors.New("connection is closed after the response")
 )
 
-// ReadElement reads one element of RESP2: its opening line without the line end and, of a bulk string, its content.
+// ReadElement reads one RESP2 element. It returns its first line without the line end and, for a bulk string, its content.
 func ReadElement(r *bufio.Reader) (head, body string, err error) {
 	if head, err = r.ReadString('\n'); err != nil {
 		return "", "", err
@@ -36,7 +37,7 @@
 	}
 	length, err := strconv.Atoi(head[1:])
 	if err != nil || length < 0 || length > maxBulkLength {
-		return "", "", fmt.Errorf("a length %q", head)
+		return "", "", fmt.Errorf("invalid bulk string length %q", head)
 	}
 	content := make([]byte, length+len("\r\n"))
 	if _, err = io.ReadFull(r, content); err != nil {
@@ -45,7 +46,7 @@
 	return head, string(content[:length]), nil
 }
 
-// encodeCommand returns a command as an array of bulk strings.
+// encodeCommand encodes a command as an array of bulk strings.
 func encodeCommand(words ...string) []byte {
 	b := fmt.Appendf(nil, "*%d\r\n", len(words))
 	for _, w := range words {
@@ -54,7 +55,7 @@
 	return b
 }
 
-// ReadCommand reads a command's words. It returns at least five, of which those that the command lacks are empty.
+// ReadCommand reads the words of a command. The result has at least five elements; words that the command lacks are empty.
 func ReadCommand(r *bufio.Reader) ([]string, error) {
 	head, err := r.ReadString('\n')
 	if err != nil {
@@ -73,19 +74,20 @@
 	return words, nil
 }
 
-// value returns what a node makes for a request: its beginning tells by whom and for which request it was made.
+// value returns a value of a node for a request. It begins with the node and the request ID, and is padded with dots to
+// size.
 func value(maker, id string, size int) string {
 	v := maker + ":" + id
 	return v + strings.Repeat(".", max(size-len(v), 0))
 }
 
-// parseValue returns by which node and for which request a value was made.
+// parseValue returns the node and the request ID from a value.
 func parseValue(v string) (maker, id string) {
 	maker, id, _ = strings.Cut(strings.TrimRight(v, "."), ":")
 	return maker, id
 }
 
-// idempotencyKeyOf returns the idempotency key among a request's facts, "" where there is none.
+// idempotencyKeyOf returns the idempotency key in the facts of a request, or "" if there is none.
 func idempotencyKeyOf(facts string) string {
 	for fact := range strings.SplitSeq(facts, ",") {
 		if key, ok := strings.CutPrefix(fact, "k="); ok {
@@ -95,11 +97,11 @@
 	return ""
 }
 
-// waitOf returns for how long an attempt's facts say that the proxy waits, in milliseconds; 0 where they do not.
+// waitOf returns the timeout in the facts of an attempt in milliseconds, or 0 if there is none.
 func waitOf(facts string) float64 {
 	for fact := range strings.SplitSeq(facts, ",") {
 		if text, ok := strings.CutPrefix(fact, "d="); ok {
-			wait, _ := strconv.ParseFloat(text, 64) // 0 where it is no number
+			wait, _ := strconv.ParseFloat(text, 64) // 0 if it is not a number
 			return wait
 		}
 	}
--- a/internal/emulator/work_queue.go
+++ b/internal/emulator/work_queue.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-var errQueueFull = errors.New("the queue is full")
+var errQueueFull = errors.New("queue is full")
 
-// workQueue is a node's capacity: commands beyond its queue are rejected, and each that waits makes all slower. A node that starts
-// anew is slow at first. Its methods may be called concurrently.
+// workQueue models the capacity of a node. Commands that exceed the queue are rejected, each waiting command slows down all
+// others, and a node in slow start serves at a reduced speed. The methods may be called concurrently.
 type workQueue struct {
 	NodeCapacity
 	slowStart    time.Duration
-	initialSpeed float64 // part of the full speed at the beginning of the slow start
+	initialSpeed float64 // speed at the beginning of the slow start, as a fraction of the full speed
 	waiting      atomic.Int64
 	cores        chan struct{} // one element for each command in service
 
 	mu        sync.Mutex
-	slowdown  float64   // factor on the usual service time
-	startedAt time.Time // begin of the slow start; zero: there is none
+	slowdown  float64   // factor on the normal service time
+	startedAt time.Time // start of the slow start; zero: none
 }
 
 func newWorkQueue(server NodeCapacity, slowStart time.Duration, initialSpeed float64) *workQueue {
@@ -32,31 +32,31 @@
 	}
 }
 
-// setSlowdown sets the factor by which service takes longer than usual.
+// setSlowdown sets the factor on the normal service time.
 func (q *workQueue) setSlowdown(factor float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.slowdown = factor
 }
 
-// start begins a slow start at a moment; at the zero time there is none.
+// start begins a slow start at a time. The zero time ends it.
 func (q *workQueue) start(at time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.startedAt = at
 }
 
-// started returns when the slow start began.
+// started returns the time at which the slow start began, or the zero time if there is none.
 func (q *workQueue) started() time.Time {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.startedAt
 }
 
-// commandsPerSecond returns the full capacity.
+// commandsPerSecond returns the full capacity in commands per second.
 func (q *workQueue) commandsPerSecond() float64 { return float64(q.Cores) * 1000 / q.ServiceMS }
 
-// speed returns the present part of the full speed.
+// speed returns the current speed as a fraction of the full speed.
 func (q *workQueue) speed() float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,8 +67,9 @@
 	return part / q.slowdown
 }
 
-// process serves a command, whose service time depends on the request and the node alone. It returns errQueueFull where the
-// command is rejected.
+// process serves a command and blocks meanwhile. The random service time depends only on the request ID and the node, so
+// that runs are repeatable; it is then scaled by the node's current speed and queue. It returns errQueueFull if the command
+// is rejected.
 func (q *workQueue) process(id, node string) error {
 	if q.waiting.Add(1) > int64(q.Queue+q.Cores) {
 		q.waiting.Add(-1)
@@ -83,11 +84,11 @@
 	return nil
 }
 
-// hashedFloat returns a pseudo-random number in [0, 1) that is the same for the same words on every run.
+// hashedFloat returns a pseudo-random number in [0, 1) that depends only on the words.
 func hashedFloat(words ...string) float64 {
 	h := fnv.New64a()
 	for _, w := range words {
-		_, _ = h.Write([]byte(w + "\x00")) // a hash's Write returns no error
+		_, _ = h.Write([]byte(w + "\x00")) // hash.Hash never returns an error
 	}
 	return rand.New(rand.NewPCG(h.Sum64(), 1)).Float64()
 }
