--- a/internal/emulator/background_load.go
+++ b/internal/emulator/background_load.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// BackgroundLoad is the load that all proxies together put on nodes and discovery besides requests.
+// BackgroundLoad is the load that all proxies together put on nodes and discovery in addition to requests.
 type BackgroundLoad struct {
-	HealthChecksPerSecond  float64 // commands a second that a silent node received, from silenceGrace after it fell silent on
+	HealthChecksPerSecond  float64 // commands per second at a silent node, counted from silenceGrace after it fell silent
 	MeanOpenWatches        float64 // mean number of open discovery watches
-	WatchesOpenedPerSecond float64 // discovery watches opened a second
-	MeanConnsPerNode       float64 // mean number of connections open at a cache
-	MaxConnsPerNode        int     // greatest number of connections open at one cache
+	WatchesOpenedPerSecond float64 // discovery watches opened per second
+	MeanConnsPerNode       float64 // mean number of open connections of a cache
+	MaxConnsPerNode        int     // largest number of open connections of one cache
 }
 
-// silenceGrace is how long proxies have to eject a silent node before its commands are counted as health checks.
+// silenceGrace is the time within which proxies eject a silent node. Commands that it receives later count as health checks.
 const silenceGrace = 2 * time.Second
 
-// timeSpan is from one moment of a scenario to another, both inclusive.
+// timeSpan is an interval of times since the start of the event log, both ends inclusive.
 type timeSpan struct{ from, to time.Duration }
 
 func (s timeSpan) contains(at time.Duration) bool { return at >= s.from && at <= s.to }
 
-// backgroundSamples is what a BackgroundLoad is calculated from.
+// backgroundSamples holds the samples from which a BackgroundLoad is calculated.
 type backgroundSamples struct {
-	// Written by sampleBackgroundLoad alone and read after it has returned.
+	// Written only by sampleBackgroundLoad, and read after it has returned.
 	samples      int
 	watches      int
 	connsPerNode float64
@@ -38,11 +38,11 @@
 	began        time.Time
 
 	mu          sync.Mutex
-	silentTime  time.Duration // from silenceGrace on, over all silent nodes
+	silentTime  time.Duration // time beyond silenceGrace, summed over all silent nodes
 	silentSpans map[string]timeSpan
 }
 
-// writeDutyConfig writes a proxy's duties file.
+// writeDutyConfig writes the duties file of a proxy, unless the scenario has no duties.
 func (r *runner) writeDutyConfig(m *managedProxy) error {
 	t := r.plan.Scenario.Duties
 	if !t.On {
@@ -52,7 +52,7 @@
 	return os.WriteFile(m.config.DutiesFile, fmt.Appendf(nil, "watchers = %d\nkeepers = %d\n", t.Watchers, t.Owners), 0o600)
 }
 
-// recordSilence records for how long a node was silent.
+// recordSilence records that a node was silent between two times. Silences shorter than silenceGrace are ignored.
 func (r *runner) recordSilence(n *Node, from, to time.Time) {
 	span := timeSpan{from.Add(silenceGrace).Sub(r.log.start), to.Sub(r.log.start)}
 	if span.to <= span.from {
@@ -68,7 +68,7 @@
 	b.silentSpans[n.Name] = span
 }
 
-// sampleBackgroundLoad counts open connections and watches at each statusPollInterval until the context ends.
+// sampleBackgroundLoad counts open connections and watches every statusPollInterval until the context ends.
 func (r *runner) sampleBackgroundLoad(ctx context.Context) {
 	b := &r.backgroundLoad
 	b.began, b.watchCalls = time.Now(), -r.discoveryCalls()
@@ -91,7 +91,7 @@
 	b.watchCalls += r.discoveryCalls()
 }
 
-// discoveryCalls returns how many watches have been opened at all discovery agents.
+// discoveryCalls returns the number of watches that have been opened at all discovery agents.
 func (r *runner) discoveryCalls() (sum int64) {
 	for _, d := range r.discoveries {
 		sum += d.WatchesOpened.Load()
@@ -99,7 +99,7 @@
 	return sum
 }
 
-// summarizeBackgroundLoad calculates the load from the samples and the recorded events.
+// summarizeBackgroundLoad calculates the background load from the samples and the recorded events.
 func (r *runner) summarizeBackgroundLoad(events []Event) (load BackgroundLoad) {
 	b := &r.backgroundLoad
 	for _, e := range events {
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,11 +1,11 @@
-// Package emulator plays scenarios of a deployment on loopback addresses: real proxy processes serve among stand-ins for caches,
-// the origin, service discovery and clients, faults are injected, and invariants are checked afterwards on what the stand-ins
-// recorded. It shares no code with the proxy.
+// Package emulator runs scenarios of a deployment on loopback addresses. Real proxy processes serve requests between
+// stand-ins for caches, the origin, service discovery and clients while faults are injected. Afterwards invariants are
+// checked on the events that the stand-ins recorded. The package shares no code with the proxy.
 //
-// A Scenario is what a file describes. Scenario.Draw settles by a seed every request and the targets of every fault, and
-// Run runs the Plan that comes of it. What the stand-ins see goes into an EventLog, from which CheckInvariants finds the
-// violations and the Report takes its figures.
+// A Scenario is read from a file. Scenario.NewPlan draws all requests and the targets of all faults from a seed, and Run
+// executes the resulting Plan. The stand-ins record events in an EventLog. CheckInvariants derives the violations from these
+// events, and the Report its figures.
 //
-// Processes have names by which link faults select them: n0 and on are proxies, c0 and on are caches, d0 and on the proxies'
+// Link faults select processes by name: n0, n1, ... are proxies, c0, c1, ... are caches, d0, d1, ... are the proxies'
 // discovery agents, and "origin" is the origin.
 package emulator
--- a/internal/emulator/limit_watch.go
+++ b/internal/emulator/limit_watch.go
@@ -11,11 +11,9 @@
 )
 
 const (
-	limitInterval = 50 * time.Millisecond // between two looks at what a process uses
-	// pingInterval is how often a proxy is asked whether it answers, and hungTimeout after how long without an answer it
-	// hangs.
-	pingInterval = 500 * time.Millisecond
-	hungTimeout  = 5 * time.Second
+	limitInterval = 50 * time.Millisecond // between two checks of the resources of a process
+	pingInterval  = 500 * time.Millisecond
+	hungTimeout   = 5 * time.Second // without a reply, after which a proxy counts as hung
 )
 
 // Notes of LimitExceeded events.
@@ -24,11 +22,12 @@
 	limitDescriptors = "descriptors"
 )
 
-// watchLimits looks at what a process uses until it ends. One that is over a limit is killed, as the platform does.
+// watchLimits checks the memory and the descriptors of a process until it ends. It kills a process that exceeds a limit, as
+// the platform does.
 func (r *runner) watchLimits(i int, process *incarnation) {
 	owner, ok := process.Proxy.(interface{ PID() int })
 	if !ok {
-		return // a stand-in without a process of its own
+		return // a fake proxy without a process of its own
 	}
 	limits := r.plan.Scenario.Limits
 	ticker := time.NewTicker(limitInterval)
@@ -57,7 +56,7 @@
 	}
 }
 
-// markKilled notes that the end of a process is the emulator's doing.
+// markKilled records that the emulator kills a process.
 func (r *runner) markKilled(i int, process *incarnation) {
 	m := r.proxies[i]
 	m.mu.Lock()
@@ -65,7 +64,7 @@
 	process.endNote = endKilled
 }
 
-// residentMB returns the memory that a process has resident, in MiB; 0 once it has ended.
+// residentMB returns the resident memory of a process in MiB, or 0 if the process has ended.
 func residentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -75,11 +74,11 @@
 	if len(fields) < 2 {
 		return 0
 	}
-	pages, _ := strconv.Atoi(string(fields[1])) // 0 where it is no number
+	pages, _ := strconv.Atoi(string(fields[1])) // 0 if it is not a number
 	return float64(pages) * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// openDescriptors returns how many descriptors a process has open; 0 once it has ended.
+// openDescriptors returns the number of open descriptors of a process, or 0 if the process has ended.
 func openDescriptors(pid int) int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -88,8 +87,8 @@
 	return len(entries)
 }
 
-// watchAnswers asks a process whether it answers, from when it is ready until it ends or is told to. A span without an
-// answer in which it was paused is no hang.
+// watchAnswers pings a process from the time it is ready until it ends or is stopped. It records a process that has not
+// replied for hungTimeout as hung. HungRule later excuses processes that were paused within that time.
 func (r *runner) watchAnswers(i int, process *incarnation) {
 	m := r.proxies[i]
 	answeredAt := time.Now()
@@ -105,7 +104,7 @@
 		if stopping {
 			return
 		}
-		if err := ping(m.config.Listen); err == nil || systemerror.IsTransient(err) || m.crowds.Load() > 0 { // a shortage here, or there, tells nothing
+		if err := ping(m.config.Listen); err == nil || systemerror.IsTransient(err) || m.crowds.Load() > 0 { // a resource shortage of the emulator or of the proxy does not prove a hang
 			answeredAt = time.Now()
 		} else if silent := time.Since(answeredAt); silent > hungTimeout {
 			r.log.Record(Event{Kind: ProcessHung, Proxy: i, Figure: silent.Seconds()})
--- a/internal/emulator/link_faults.go
+++ b/internal/emulator/link_faults.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// lossyMaxDelay is the greatest delay of datagrams under a fault of kind lossy.
+// lossyMaxDelay is the maximum delay of datagrams under a fault of kind lossy.
 const lossyMaxDelay = 60 * time.Millisecond
 
-// affectedNames returns the names on the affected side of a fault: its target proxies and, where it affects a zone, its caches.
+// affectedNames returns the names of the processes on the affected side of a fault: its target proxies and, if the fault
+// affects a zone, the caches of the zone.
 func (r *runner) affectedNames(event FaultEvent) map[string]bool {
 	affected := map[string]bool{}
 	for _, i := range event.Targets {
@@ -23,8 +24,8 @@
 	return affected
 }
 
-// linkFaultOf returns what a fault does to links. Links to the origin and to a proxy's own discovery agent are affected only by a
-// fault that names them.
+// linkFaultOf returns the effect of a fault on links. Links to the origin and to a proxy's own discovery agent are affected
+// only by a fault that names them.
 func (r *runner) linkFaultOf(event FaultEvent) linkFault {
 	affected := r.affectedNames(event)
 	mayAffect := func(name string) bool {
@@ -49,10 +50,10 @@
 	return fault
 }
 
-// matchesAny reports whether one of the patterns matches a name; "" stands for any name.
+// matchesAny reports whether one of the patterns matches a name. The name "" matches any pattern.
 func matchesAny(patterns []string, name string) bool {
 	for _, p := range patterns {
-		if ok, _ := path.Match(p, name); ok || name == "" { // patterns were checked with the scenario
+		if ok, _ := path.Match(p, name); ok || name == "" { // Scenario.Check has validated the patterns
 			return true
 		}
 	}
--- a/internal/emulator/listener_gate.go
+++ b/internal/emulator/listener_gate.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// Over a severed link no connection may come up, but the kernel would complete one to a loopback address for as long as the
-// listener's backlog has room, and a lost machine would look like a busy one. The gate of a listener fills its backlog with
-// connections of the emulator's own while the link is severed; the kernel then drops connection requests, whose sender repeats
-// them as it would to a machine that is gone.
+// No connection may be established over a severed link. On loopback the kernel would complete connections until the
+// listener's backlog is full, and a lost machine would look like a busy one. While the link is severed, the gate of a
+// listener therefore fills its backlog with connections of the emulator. The kernel then drops connection requests, and the
+// sender retransmits them as it does when the remote machine is lost.
 
-// fillerIP is the source address of the connections that fill backlogs.
+// fillerIP is the source address of connections that fill backlogs. It distinguishes them from others.
 var fillerIP = net.IPv4(127, 254, 253, 252)
 
 // defaultBacklog is the backlog of a listener whose link is not severed.
 const defaultBacklog = 128
 
 const (
-	fillersNeeded     = 2 // one is taken by a pending Accept, the next stays in the backlog
+	fillersNeeded     = 2 // a pending Accept takes one, the other stays in the backlog
 	fillerAttempts    = 6
 	fillerDialTimeout = 100 * time.Millisecond
 )
 
-// listenerGate closes and opens one listener behind a link.
+// listenerGate shuts and opens one listener, depending on the state of its link.
 type listenerGate struct {
 	listener      net.Listener
 	local, remote string
@@ -35,16 +35,17 @@
 	fillerConns   []net.Conn
 }
 
-// gateSet is the gates of all links. The lock is not held during network I/O.
+// gateSet holds the gates of all links. mu is not held during network I/O.
 type gateSet struct {
 	mu  sync.Mutex
 	all map[gateKey]*listenerGate
 }
 
-// gateKey is the names at both ends of a listener's links.
+// gateKey holds the names of the processes at both ends of a listener's link.
 type gateKey struct{ local, remote string }
 
-// guardListener has a listener be shut while its link is severed; it replaces an earlier one between the same names.
+// guardListener adds a gate that shuts a listener while its link is severed. It replaces an earlier gate between the same
+// processes.
 func (n *network) guardListener(ln net.Listener, local, remote string) {
 	if n == nil {
 		return
@@ -56,7 +57,7 @@
 	n.updateGate(g)
 }
 
-// updateGates shuts and opens gates as links are severed and heal.
+// updateGates shuts the gates of severed links and opens the others.
 func (n *network) updateGates() {
 	n.gates.mu.Lock()
 	all := slices.Collect(maps.Values(n.gates.all))
@@ -76,21 +77,21 @@
 	g.shut = severed
 	backlog := defaultBacklog
 	if severed {
-		backlog = 0 // of which the kernel makes one
+		backlog = 0 // the kernel rounds this up to one
 	}
 	if !g.setBacklog(backlog) {
 		return // the listener is closed
 	}
 	for _, c := range g.fillerConns {
-		_ = c.Close() // nothing was sent on it
+		_ = c.Close() // no data was sent on it
 	}
 	g.fillerConns = nil
 	if severed {
-		go n.fillQueue(g) // it ends by itself within fillerAttempts timeouts
+		go n.fillQueue(g) // returns after at most fillerAttempts dial timeouts
 	}
 }
 
-// setBacklog reports whether the listener is open and has the backlog.
+// setBacklog sets the backlog of the listener. It reports false if the listener is closed or not a TCP listener.
 func (g *listenerGate) setBacklog(backlog int) bool {
 	tcp, ok := g.listener.(*net.TCPListener)
 	if !ok {
@@ -101,11 +102,11 @@
 		return false
 	}
 	return raw.Control(func(fd uintptr) {
-		_ = syscall.Listen(int(fd), backlog) // cannot fail on a socket that listens
+		_ = syscall.Listen(int(fd), backlog) // cannot fail on a listening socket
 	}) == nil
 }
 
-// fillQueue fills a shut gate's backlog.
+// fillQueue fills the backlog of a shut gate. It returns early once the gate opens or the listener is closed.
 func (n *network) fillQueue(g *listenerGate) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: fillerIP}, Timeout: fillerDialTimeout}
 	for filled, attempts := 0, 0; filled < fillersNeeded && attempts < fillerAttempts; attempts++ {
@@ -114,7 +115,7 @@
 		if !g.shut {
 			n.gates.mu.Unlock()
 			if err == nil {
-				_ = c.Close() // nothing was sent on it
+				_ = c.Close() // no data was sent on it
 			}
 			return
 		}
@@ -124,25 +125,25 @@
 		}
 		n.gates.mu.Unlock()
 		if netErr := net.Error(nil); err != nil && (!errors.As(err, &netErr) || !netErr.Timeout()) {
-			return // the listener is closed; a timeout may come of the first filler's not being accepted yet
+			return // the listener is closed; after a timeout, which occurs while the first filler is not yet accepted, it tries again
 		}
 	}
 }
 
-// isSevered reports whether a link carries nothing in at least one of its directions.
+// isSevered reports whether a link loses everything in at least one direction.
 func (n *network) isSevered(a, b string) bool {
 	forward, _ := n.linkState(a, b)
 	backward, _ := n.linkState(b, a)
 	return forward.lossRate >= 1 || backward.lossRate >= 1
 }
 
-// isFiller reports whether a connection is the emulator's own. It closes such a one and returns once the link is not severed any
-// more, so that the caller accepts nothing meanwhile.
+// isFiller reports whether an accepted connection is a filler of a gate. It closes a filler and then blocks until the link
+// is no longer severed, so that the caller accepts no other connection until then.
 func (n *network) isFiller(c net.Conn, local, remote string) bool {
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); n == nil || !ok || !a.IP.Equal(fillerIP) {
 		return false
 	}
-	_ = c.Close() // nothing was sent on it
+	_ = c.Close() // no data was sent on it
 	for {
 		_, changed := n.linkState(local, remote)
 		if !n.isSevered(local, remote) {
--- a/internal/emulator/needs.go
+++ b/internal/emulator/needs.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Needs is what a proxy has needed in a scenario, in the mean over all proxies.
+// Needs is the resource usage of a proxy in a scenario, as the mean over all proxies.
 type Needs struct {
 	CPU           time.Duration
-	MemoryMB      float64 // at the most
-	Descriptors   float64 // at the most
-	ConnsToNodes  float64 // made to caches and the origin
-	ListBytes     float64 // of discovery
-	CompletedPart float64 // of the requests
+	MemoryMB      float64 // peak
+	Descriptors   float64 // peak
+	ConnsToNodes  float64 // connections opened to caches and the origin
+	ListBytes     float64 // bytes received from discovery
+	CompletedPart float64 // fraction of the requests that completed
 }
 
-// recordResourceUsage notes what a process uses at a moment.
+// recordResourceUsage updates the peak usage of a proxy from one measurement.
 func (m *managedProxy) recordResourceUsage(memoryMB float64, descriptors int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -20,7 +20,7 @@
 	m.peakDescriptors = max(m.peakDescriptors, descriptors)
 }
 
-// measureResourceUsage calculates what a proxy has needed, once all processes have ended.
+// measureResourceUsage returns the mean resource usage of the proxies. It must be called after all processes have ended.
 func (r *runner) measureResourceUsage() Needs {
 	var needs Needs
 	for i, m := range r.proxies {
@@ -45,8 +45,8 @@
 	return needs
 }
 
-// WithServers returns the scenario with another number of caches, of which all together have the same capacity; faults
-// hit the same part of them.
+// WithServers returns a copy of the scenario with another number of caches. Their total capacity is unchanged, and faults
+// affect the same fraction of them.
 func (d *Scenario) WithServers(servers int) *Scenario {
 	scaled, factor := *d, float64(servers)/float64(d.Fleet.Nodes)
 	scaled.Fleet.Nodes = servers
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// requestsPerLateSend is how many requests there have to be for each late one in a run that counts as on time.
+// requestsPerLateSend is the minimum number of requests for each late send in a run that counts as on time.
 const requestsPerLateSend = 200
 
-// Report is what came of a scenario.
+// Report holds the results and measurements of a run.
 type Report struct {
 	Plan                *Plan
 	Results             []Result
 	Violations          []Violation
 	Events              []Event
-	MaxLatenessMS       float64         // greatest lateness of the load generator, in milliseconds
-	LateSendTimes         []time.Duration // at which the load generator was late, by the events' clock
-	OnTime              bool            // at most one request in two hundred was sent late
-	CPUMicrosPerRequest float64         // of all proxies, microseconds a request; 0 where they are not processes
+	MaxLatenessMS       float64         // maximum delay of the load generator, in milliseconds
+	LateSendTimes       []time.Duration // times of late sends of the load generator, since the start of the event log, ascending
+	OnTime              bool            // at most one request in requestsPerLateSend was sent late
+	CPUMicrosPerRequest float64         // CPU time of all proxies, in microseconds per request; 0 if they are not processes
 
 	Needs Needs
 
-	// Of gossip.
+	// Gossip.
 
-	PropagationTimes       []time.Duration // for each node announced to one proxy, until each other proxy had it, ascending
-	NeverPropagated        int             // how often a proxy never had such a node
-	GossipBytesPerSecond   float64         // sent and received, a second and proxy
-	GossipPacketsPerSecond float64         // received, a second and proxy
-	CatchUpTimes           []time.Duration // from a process's start or continuation until it reported that it had caught up, ascending
+	PropagationTimes       []time.Duration // for each node announced to one proxy, time until each other proxy listed it, ascending
+	NeverPropagated        int             // number of pairs of such a node and a proxy that never listed it
+	GossipBytesPerSecond   float64         // sent and received, per second and proxy
+	GossipPacketsPerSecond float64         // received, per second and proxy
+	CatchUpTimes           []time.Duration // from start or continuation of a process until it had caught up, ascending
 
-	// Of zone health.
+	// Zone health.
 
 	ZoneFaults     []ZoneFaultResult
-	FalseVerdicts  int // verdicts that a zone is out where no fault explains it
-	FalsePositives int // zones that a proxy passed by standalone where no fault explains it
+	FalseVerdicts  int // verdicts that a zone is out without a fault that explains them
+	FalsePositives int // standalone evacuations of a zone by a proxy without a fault that explains them
 
-	SlowStartPeak          float64 // greatest load of a node in slow start, as a part of what overloads it
+	SlowStartPeak          float64 // maximum load of a node in slow start, as a fraction of its overload limit
 	BackgroundLoad         BackgroundLoad
-	AbsentLookupsPerSecond float64 // look-ups a second at the origin of keys that it lacks
-	AbsentAnswersPerSecond float64 // answers a second to clients that there is no such key
+	AbsentLookupsPerSecond float64 // look-ups of absent keys at the origin, per second
+	AbsentAnswersPerSecond float64 // replies to clients that report an absent key, per second
 	Recoveries             []RecoveryResult
-	MaxAbsentStaleness     time.Duration // the longest for which a key was reported missing after it was written
-	UnansweredMalformed    int           // malformed requests that were neither answered with an error nor closed on
+	MaxAbsentStaleness     time.Duration // longest time for which a key was reported absent after its write
+	UnansweredMalformed    int           // malformed requests that led to neither an error reply nor the end of the connection
 }
 
-// buildReport calculates the report once the scenario has ended.
+// buildReport builds the report. It must be called after the scenario has ended.
 func (r *runner) buildReport() *Report {
 	r.reportLogs()
 	events := r.log.All()
--- a/internal/emulator/residue.go
+++ b/internal/emulator/residue.go
@@ -11,29 +11,30 @@
 	"time"
 )
 
-// Metrics of proxies that are looked at once all clients have gone. All but the goroutines have to be zero then.
+// Metrics of proxies that are checked after all clients have left. They must then be zero, except for the goroutines and the
+// invariant violations that a pause excuses.
 const (
 	counterGoroutines = "woodproxy_goroutines"
 	counterHeld       = "woodproxy_held"
 	counterBytes      = "woodproxy_bytes"
 	counterStreams    = "woodproxy_passing"
-	counterViolations = "woodproxy_invariant_violations_total" // of all invariants together
+	counterViolations = "woodproxy_invariant_violations_total" // sum over all invariants
 	counterPanics     = "woodproxy_panics_total"
 )
 
 var residueCounters = []string{counterGoroutines, counterHeld, counterBytes, counterStreams, counterViolations, counterPanics}
 
 const (
-	residueTimeout  = 3 * time.Second // for attempts that are still in flight
+	residueTimeout  = 3 * time.Second // for attempts in flight to end
 	residueInterval = 100 * time.Millisecond
 	scrapeTimeout   = time.Second
 )
 
-// Beginnings of messages that no proxy may log.
+// forbiddenMessages are the prefixes of messages that no proxy may log.
 var forbiddenMessages = []string{messageInvariant, "panic"}
 
-// reportResidue records what running proxies still hold once all clients have gone. It waits for a while for what is on
-// its way to its end. Proxies without an address for operators are passed over.
+// reportResidue records the residue metrics of the running proxies after all clients have left. It waits up to
+// residueTimeout for attempts in flight. Proxies without an admin address are skipped.
 func (r *runner) reportResidue(ctx context.Context) {
 	var scrapes sync.WaitGroup
 	for i, m := range r.proxies {
@@ -45,6 +46,7 @@
 	scrapes.Wait()
 }
 
+// reportProxyResidue scrapes a proxy until it holds nothing or residueTimeout has passed, and records the metrics.
 func (r *runner) reportProxyResidue(ctx context.Context, proxy int, address string) {
 	var counters map[string]float64
 	for end := time.Now().Add(residueTimeout); ; {
@@ -61,7 +63,8 @@
 	}
 }
 
-// scrape returns the metrics of a proxy that are looked at, those with labels added up; nil where it does not answer.
+// scrape returns the residueCounters of a proxy, each as the sum over its labels. It returns nil if the admin server does
+// not respond.
 func scrape(ctx context.Context, address string) map[string]float64 {
 	ctx, cancel := context.WithTimeout(ctx, scrapeTimeout)
 	defer cancel()
@@ -73,7 +76,7 @@
 	if err != nil {
 		return nil
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // a close error after reading does not matter
 	values := map[string]float64{}
 	for lines := bufio.NewScanner(response.Body); lines.Scan(); {
 		series, text, found := strings.Cut(lines.Text(), " ")
@@ -85,7 +88,7 @@
 	return values
 }
 
-// reportLogs records what no proxy may log.
+// reportLogs records how often each proxy logged forbidden messages.
 func (r *runner) reportLogs() {
 	counts, processes := map[int]map[string]float64{}, newProcessHistory(r.log.All())
 	r.eachLogLine(func(proxy int, line logLine) {
@@ -109,17 +112,17 @@
 	}
 }
 
-// sentDeadlineInvariant is the invariant that a proxy finds broken where it was stopped between the writing of an attempt and
-// the look at the clock behind it. The operators allow for 0.15 s there, and pauses last longer.
+// sentDeadlineInvariant is the invariant that a proxy reports as violated if it was stopped between writing an attempt and
+// reading the clock afterwards. The proxy tolerates 0.15 s between the two, and pauses last longer.
 const sentDeadlineInvariant = "told_deadline_holds"
 
-// noteExcused is the note of LogReported events that count what a pause explains.
+// noteExcused is the Note of LogReported events that count log lines excused by a pause.
 const noteExcused = "excused by a pause"
 
-// pauseSlack is how long after the end of a pause a process may log what came of it.
+// pauseSlack is the time after the end of a pause within which a process may log consequences of the pause.
 const pauseSlack = 100 * time.Millisecond
 
-// isExcusedByPause reports whether a line tells of a deadline that a pause of the proxy has outdated.
+// isExcusedByPause reports whether a line logs a violation of sentDeadlineInvariant that a pause of the proxy explains.
 func (r *runner) isExcusedByPause(proxy int, line *logLine, processes *processHistory) bool {
 	at := time.Duration((line.At - float64(r.log.start.UnixNano())/1e9) * float64(time.Second))
 	return line.Invariant == sentDeadlineInvariant && processes.wasPaused(proxy, at-pauseSlack, at)
