--- a/internal/emulator/attempt_check.go
+++ b/internal/emulator/attempt_check.go
@@ -5,7 +5,7 @@
 // Tolerances of the rules on attempts, in addition to timingSlack.
 const (
 	lateAttemptGrace  = 100 * time.Millisecond // from the end of a request to the start of an attempt
-	toldDeadlineSlack = 150 * time.Millisecond // by which the deadline sent with an attempt may exceed the client's deadline
+	sentDeadlineSlack = 150 * time.Millisecond // by which the deadline sent with an attempt may exceed the client's deadline
 )
 
 // attemptCheck checks LateAttemptRule and ToldDeadlineRule.
@@ -46,7 +46,7 @@
 		return
 	}
 	excess := e.At + millis(e.Figure) - (sentAt + millis(route.TimeoutMS))
-	if excess > toldDeadlineSlack+timingSlack {
+	if excess > sentDeadlineSlack+timingSlack {
 		a.violate(ToldDeadlineRule, e, "node %s received a deadline of %.0f ms for request %s, %v beyond the deadline of the client", e.Node, e.Figure, e.RequestID, excess)
 	}
 }
--- a/internal/emulator/eventlog.go
+++ b/internal/emulator/eventlog.go
@@ -26,8 +26,8 @@
 	ProcessLate      EventKind = "process not ready"  // a proxy process was not ready in time
 	CounterReported  EventKind = "counter reported"   // a proxy reports the value Figure of its metric Note
 	LogReported      EventKind = "log reported"       // a proxy has logged Figure lines that begin with Note
-	BadClientIgnored EventKind = "bad client ignored" // a proxy neither sent an error to a bad client nor closed its connection
-	LimitExceeded    EventKind = "limit exceeded"     // a proxy process used Figure of the resource Note and was killed
+	BadClientIgnored EventKind = "bad client ignored" // a proxy neither sent an error to a bad client nor closed its connection in time
+	LimitExceeded    EventKind = "limit exceeded"     // a proxy process used Figure of the resource Note, more than its limit, and was killed
 	ProcessHung      EventKind = "process hung"       // a proxy process did not reply to pings for Figure seconds
 	CommandInvented  EventKind = "command invented"   // a node has received a command, Note, that no client has sent
 	CrowdCame        EventKind = "crowd changed"      // silent clients connected or left: Note is crowdBegins or crowdEnds
@@ -65,7 +65,7 @@
 	Proxy                      int // index of the proxy, -1: none
 	Node                       string
 	Note                       string
-	MadeFor                    string // of a reply, ID of the request for which its value was made
+	MadeFor                    string // of a reply: ID of the request for which its value was made; of a quota report: whether the proxy is catching up
 	Figure                     float64
 	GossipBytes, GossipPackets int64 // gossip traffic since the proxy process started
 }
--- a/internal/emulator/listener_gate.go
+++ b/internal/emulator/listener_gate.go
@@ -125,7 +125,7 @@
 		}
 		n.gates.mu.Unlock()
 		if netErr := net.Error(nil); err != nil && (!errors.As(err, &netErr) || !netErr.Timeout()) {
-			return // the listener is closed; after a timeout, which occurs while the first filler is not yet accepted, it tries again
+			return // the listener is closed; a timeout may occur before the first filler is accepted, and is retried
 		}
 	}
 }
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -24,7 +24,7 @@
 	NeverPropagated        int             // number of pairs of such a node and a proxy that never listed it
 	GossipBytesPerSecond   float64         // sent and received, per second and proxy
 	GossipPacketsPerSecond float64         // received, per second and proxy
-	CatchUpTimes           []time.Duration // from start or continuation of a process until it had caught up, ascending
+	CatchUpTimes           []time.Duration // from start or continuation of a process until it reported that it had caught up, ascending
 
 	// Zone health.
 
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -238,9 +238,9 @@
 	"clock-step":    {nodes: true, step: true},
 }
 
-// minFaultPart is the minimum of Fault.Part for kinds of faults that have no effect at 0. It has no entry for link faults,
+// minFaultFraction is the minimum of Fault.Part for kinds of faults that have no effect at 0. It has no entry for link faults,
 // since these may delay traffic without loss.
-var minFaultPart = map[string]float64{"failing": 0.001, "reset": 0.001, "garbled": 0.001, "halves": 0.001, "lossy": 0.001}
+var minFaultFraction = map[string]float64{"failing": 0.001, "reset": 0.001, "garbled": 0.001, "halves": 0.001, "lossy": 0.001}
 
 // proxyFaults are the kinds of faults whose targets are proxies or their discovery agents instead of nodes.
 var proxyFaults = map[string]bool{
--- a/internal/emulator/scenario_check.go
+++ b/internal/emulator/scenario_check.go
@@ -174,7 +174,7 @@
 	}{
 		{key: "nodes", v: float64(fault.Count), needed: needs.nodes, optional: needs.some, low: 1, high: float64(c.maxTargets(fault.Kind))},
 		{key: "times", v: fault.Slowdown, needed: needs.times, low: 1, high: 1000},
-		{key: "part", v: fault.Part, needed: needs.part, low: minFaultPart[fault.Kind], high: 1},
+		{key: "part", v: fault.Part, needed: needs.part, low: minFaultFraction[fault.Kind], high: 1},
 		{key: "rate", v: fault.Rate, needed: needs.rate, low: 0.1, high: 1000},
 		{key: "step_s", v: fault.StepS, needed: needs.step, low: -7200, high: 7200},
 	} {
