--- a/internal/emulator/answer_check.go
+++ b/internal/emulator/answer_check.go
@@ -21,8 +21,9 @@
 	delete(a.abandoned, e.RequestID)
 }
 
-// observeClosed checks that a connection was not closed under a request. It reports at most one violation for each request.
-func (a *replyCheck) observeClosed(e Event) {
+// observeConnectionClosed checks that a connection was not closed under a request. It reports at most one violation for each
+// request.
+func (a *replyCheck) observeConnectionClosed(e Event) {
 	if a.abandoned[e.RequestID] || a.replyCount[e.RequestID] > 0 || e.Note == noteReused || a.processes.wasKilled(e.Proxy, e.At-killWindow, e.At+killWindow) {
 		return
 	}
@@ -40,13 +41,13 @@
 		a.violate(FinalAnswerRule, e, "request %s received %d replies", e.RequestID, a.replyCount[e.RequestID])
 		return false
 	}
-	asked, ok := a.lastSent[e.RequestID]
+	sent, ok := a.lastSent[e.RequestID]
 	if !ok {
 		a.violate(FinalAnswerRule, e, "request %s received a reply but was never sent", e.RequestID)
 		return false
 	}
 	limit := millis(a.routes[e.RequestID].TimeoutMS) + timingSlack
-	if elapsed := e.At - asked.At; elapsed > limit && !a.processes.wasPaused(e.Proxy, asked.At, e.At) {
+	if elapsed := e.At - sent.At; elapsed > limit && !a.processes.wasPaused(e.Proxy, sent.At, e.At) {
 		a.violate(FinalAnswerRule, e, "request %s received its reply after %v, limit %v", e.RequestID, elapsed, limit)
 	}
 	return true
--- a/internal/emulator/effect_check.go
+++ b/internal/emulator/effect_check.go
@@ -8,9 +8,9 @@
 	kills      map[string]int // by request, number of times that its proxy was killed before it replied
 }
 
-// observeClosed records that the proxy of a request was killed before it replied. The client then sends the request again,
-// and a write without an idempotency key is executed once more, which is not a fault of the proxies.
-func (c *effectCheck) observeClosed(e Event) {
+// observeConnectionClosed records that the proxy of a request was killed before it replied. The client then sends the
+// request again, and a write without an idempotency key is executed once more, which is not a fault of the proxies.
+func (c *effectCheck) observeConnectionClosed(e Event) {
 	if c.processes.wasKilled(e.Proxy, e.At-killWindow, e.At+killWindow) {
 		c.kills[e.RequestID]++
 	}
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -149,7 +149,7 @@
 		effects: effectCheck{findings: found, processes: processes, executions: map[string]int{}, kills: map[string]int{}},
 		drains:  drainCheck{findings: found, processes: processes, drainingSince: map[proxyNode]time.Duration{}, grace: scenario.drainGrace()},
 		slowStart: slowStartCheck{
-			findings: found, fleet: scenario.Fleet, begins: map[string]Event{}, arrivals: map[string][]arrival{},
+			findings: found, fleet: scenario.Fleet, starts: map[string]Event{}, arrivals: map[string][]arrival{},
 			startKnown: map[proxyNode]bool{}, overloaded: map[string]bool{},
 		},
 		quota: quotaCheck{findings: found, reports: map[int][]Event{}},
@@ -168,8 +168,8 @@
 		c.replies.abandoned[e.RequestID] = true
 		c.attempts.observeEnd(e)
 	case ConnectionClosed:
-		c.replies.observeClosed(e)
-		c.effects.observeClosed(e)
+		c.replies.observeConnectionClosed(e)
+		c.effects.observeConnectionClosed(e)
 	case AttemptReceived:
 		c.replies.forwarded[e.RequestID] = true
 		c.attempts.observeArrival(e)
--- a/internal/emulator/lateness_test.go
+++ b/internal/emulator/lateness_test.go
@@ -50,8 +50,8 @@
 // IdleFaults must return a kind of fault that left no event.
 func TestFaultsThatDoNothingAreNamed(t *testing.T) {
 	for _, test := range []struct {
-		kind string
-		does emulator.Event
+		kind   string
+		effect emulator.Event
 	}{
 		{"kill", processEnded(5, "killed")},
 		{"mass-kill", processEnded(5, "killed")},
@@ -67,7 +67,7 @@
 			if !slices.Equal(idle, []string{test.kind}) {
 				t.Errorf("got idle faults %v, want only this kind", idle)
 			}
-			if idle := (&emulator.Report{Plan: plan, Events: []emulator.Event{test.does}}).IdleFaults(); len(idle) > 0 {
+			if idle := (&emulator.Report{Plan: plan, Events: []emulator.Event{test.effect}}).IdleFaults(); len(idle) > 0 {
 				t.Errorf("got idle faults %v for a fault with an effect, want none", idle)
 			}
 		})
--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -103,13 +103,13 @@
 
 // rateAt returns the request rate at a time in seconds since the start of the scenario.
 func (d *Scenario) rateAt(at float64) float64 {
-	times := 1.0
+	factor := 1.0
 	for _, s := range d.Load.Steps {
 		if at >= s.AtS {
-			times = s.Factor
+			factor = s.Factor
 		}
 	}
-	return d.Load.Rate * times
+	return d.Load.Rate * factor
 }
 
 // pickRoute maps a point in [0, 1) to a route: the routes divide this interval in order, each in proportion to its share.
--- a/internal/emulator/slow_start_check.go
+++ b/internal/emulator/slow_start_check.go
@@ -15,7 +15,7 @@
 type slowStartCheck struct {
 	*findings
 	fleet      Fleet
-	begins     map[string]Event     // by node, its latest slow start
+	starts     map[string]Event     // by node, its latest slow start
 	arrivals   map[string][]arrival // by node, commands of the last overloadWindow
 	startKnown map[proxyNode]bool   // proxies that were notified of the latest start of a node
 	overloaded map[string]bool      // nodes whose overload was detected; their later arrivals are ignored
@@ -23,7 +23,7 @@
 }
 
 func (s *slowStartCheck) observeBegin(e Event) {
-	s.begins[e.Node] = e
+	s.starts[e.Node] = e
 	s.arrivals[e.Node] = nil
 	for known := range s.startKnown {
 		if known.node == e.Node {
@@ -41,7 +41,7 @@
 // observeArrival checks the load of a node in slow start. An overload is a violation if more than two thirds of the commands
 // came from proxies that had been notified of the node's start.
 func (s *slowStartCheck) observeArrival(e Event) {
-	begin, starting := s.begins[e.Node]
+	begin, starting := s.starts[e.Node]
 	if !starting || s.overloaded[e.Node] || e.At > begin.At+seconds(s.fleet.SlowStartS) {
 		return
 	}
