--- a/internal/emulator/limit_watch.go
+++ b/internal/emulator/limit_watch.go
@@ -104,7 +104,8 @@
 		if stopping {
 			return
 		}
-		if err := ping(m.config.Listen); err == nil || systemerror.IsTransient(err) || m.crowds.Load() > 0 { // a resource shortage of the emulator or of the proxy does not prove a hang
+		// A resource shortage of the emulator, or of a proxy with a crowd, does not prove a hang.
+		if err := ping(m.config.Listen); err == nil || systemerror.IsTransient(err) || m.crowds.Load() > 0 {
 			answeredAt = time.Now()
 		} else if silent := time.Since(answeredAt); silent > hungTimeout {
 			r.log.Record(Event{Kind: ProcessHung, Proxy: i, Figure: silent.Seconds()})
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -238,8 +238,8 @@
 	"clock-step":    {nodes: true, step: true},
 }
 
-// minFaultFraction is the minimum of Fault.Part for kinds of faults that have no effect at 0. It has no entry for link faults,
-// since these may delay traffic without loss.
+// minFaultFraction is the minimum of Fault.Part for kinds of faults that have no effect at 0. The kind link is not among them,
+// since it may delay traffic without loss.
 var minFaultFraction = map[string]float64{"failing": 0.001, "reset": 0.001, "garbled": 0.001, "halves": 0.001, "lossy": 0.001}
 
 // proxyFaults are the kinds of faults whose targets are proxies or their discovery agents instead of nodes.
