--- a/internal/server/dutiesfile.go
+++ b/internal/server/dutiesfile.go
@@ -17,8 +17,8 @@
 	HeartbeatExpiryMS float64 `toml:"patience_ms"`
 }
 
-// readDutiesFile reads the duties file. Duties are shared among proxies, so that without gossip it is a
-// *duties.AloneError.
+// readDutiesFile reads the duties file. Without gossip it returns a *duties.NoPeersError, because duties are shared
+// among proxies.
 func readDutiesFile(file string, config *Config) (*duties.Settings, error) {
 	if config.Gossip == nil {
 		return nil, fmt.Errorf("turns: %w", &duties.NoPeersError{File: file})
@@ -31,9 +31,9 @@
 		HeartbeatMS:       700,
 		HeartbeatExpiryMS: 2500,
 	}
-	terms := &duties.Settings{}
+	policy := &duties.Settings{}
 	err := readPolicyFile("turns", file, values, func() error {
-		*terms = duties.Settings{
+		*policy = duties.Settings{
 			Self:              config.Name,
 			Watchers:          values.Watchers,
 			IdleOwners:        values.IdleConnOwners,
@@ -43,10 +43,10 @@
 			HeartbeatInterval: tenths[duties.Time](values.HeartbeatMS),
 			LeaseDuration:     tenths[duties.Time](values.HeartbeatExpiryMS),
 		}
-		return terms.Check()
+		return policy.Check()
 	})
 	if err != nil {
 		return nil, err
 	}
-	return terms, nil
+	return policy, nil
 }
