--- a/cmd/emulator/growth.go
+++ b/cmd/emulator/growth.go
@@ -27,7 +27,7 @@
 // growthRow is one of a proxy's needs, with what it may be by the operators' page.
 type growthRow struct {
 	name        string
-	value       func(n *emulator.Needs) float64
+	value       func(n *emulator.ResourceUsage) float64
 	factor      float64 // of the usual need
 	extra       float64
 	perThousand float64 // servers
@@ -35,12 +35,12 @@
 }
 
 var growthRows = []growthRow{
-	{"CPU, s", func(n *emulator.Needs) float64 { return n.CPU.Seconds() }, 1.4, 0.02, 0.03, false},
-	{"peak memory, MB", func(n *emulator.Needs) float64 { return n.MemoryMB }, 1.5, 8, 4, false},
-	{"descriptors", func(n *emulator.Needs) float64 { return n.Descriptors }, 2, 40, 0, false},
-	{"connections made", func(n *emulator.Needs) float64 { return n.ConnsToNodes }, 2.5, 40, 0, false},
-	{"list bytes, KB", func(n *emulator.Needs) float64 { return n.ListBytes / 1000 }, 2, 64, 500, false},
-	{"share served", func(n *emulator.Needs) float64 { return n.CompletedPart }, 0.85, 0, 0, true},
+	{"CPU, s", func(n *emulator.ResourceUsage) float64 { return n.CPU.Seconds() }, 1.4, 0.02, 0.03, false},
+	{"peak memory, MB", func(n *emulator.ResourceUsage) float64 { return n.MemoryMB }, 1.5, 8, 4, false},
+	{"descriptors", func(n *emulator.ResourceUsage) float64 { return n.Descriptors }, 2, 40, 0, false},
+	{"connections made", func(n *emulator.ResourceUsage) float64 { return n.ConnsToNodes }, 2.5, 40, 0, false},
+	{"list bytes, KB", func(n *emulator.ResourceUsage) float64 { return n.ListBytes / 1000 }, 2, 64, 500, false},
+	{"share served", func(n *emulator.ResourceUsage) float64 { return n.CompletedFraction }, 0.85, 0, 0, true},
 }
 
 // Run prints a table and returns errInvariantViolated after a violation, errGrowth after a need beyond its bound.
@@ -56,7 +56,7 @@
 	if err := experiment.CreateEmptyDir(c.Dir); err != nil {
 		return usageError{err}
 	}
-	var needs []emulator.Needs
+	var needs []emulator.ResourceUsage
 	violated := false
 	for _, scenario := range []*emulator.Scenario{usual, scaled} {
 		dir := filepath.Join(c.Dir, fmt.Sprint(scenario.Fleet.Nodes))
@@ -72,7 +72,7 @@
 		if !report.OnTime {
 			fmt.Printf("%d servers: the load ran late\n", scenario.Fleet.Nodes)
 		}
-		needs = append(needs, report.Needs)
+		needs = append(needs, report.ResourceUsage)
 	}
 	exceeded := printGrowth(usual.Fleet.Nodes, c.Servers, &needs[0], &needs[1])
 	switch {
@@ -85,7 +85,7 @@
 }
 
 // printGrowth prints the needs of both plays with their bounds, and reports whether one is beyond its bound.
-func printGrowth(usualServers, servers int, usual, many *emulator.Needs) (exceeded bool) {
+func printGrowth(usualServers, servers int, usual, many *emulator.ResourceUsage) (exceeded bool) {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(table, "a proxy\t%d servers\t%d servers\tbound\n", usualServers, servers)
 	for i := range growthRows {
--- a/internal/emulator/absence_check.go
+++ b/internal/emulator/absence_check.go
@@ -24,7 +24,7 @@
 func (a *absenceCheck) observeAbsent(e Event, sentAt time.Duration) {
 	key, limit := a.keys[e.RequestID], a.scenario.maxAbsentStaleness()
 	written, ok := a.firstWritten[key]
-	if !ok && hashedFloat("missing", key) >= a.scenario.NegativeCache.AbsentPart {
+	if !ok && hashedFloat("missing", key) >= a.scenario.NegativeCache.AbsentFraction {
 		a.violate(FreshAbsenceRule, e, "key %s of request %s has always existed and is reported absent", key, e.RequestID)
 		return
 	}
--- a/internal/emulator/absent_keys.go
+++ b/internal/emulator/absent_keys.go
@@ -21,9 +21,9 @@
 		case e.Kind == KeyAbsent:
 			report.AbsentLookupsPerSecond++
 		case e.Kind == ReplyReceived && e.Node == noSuchKey:
-			report.AbsentAnswersPerSecond++
+			report.AbsentRepliesPerSecond++
 		}
 	}
 	report.AbsentLookupsPerSecond /= r.plan.Scenario.LengthS
-	report.AbsentAnswersPerSecond /= r.plan.Scenario.LengthS
+	report.AbsentRepliesPerSecond /= r.plan.Scenario.LengthS
 }
--- a/internal/emulator/answer_check.go
+++ b/internal/emulator/answer_check.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// replyCheck checks FinalAnswerRule.
+// replyCheck checks FinalReplyRule.
 type replyCheck struct {
 	*findings
 	processes   *processHistory
@@ -31,24 +31,24 @@
 	if !a.forwarded[e.RequestID] && a.processes.wasCrowded(e.Proxy, e.At, e.At) {
 		return // the proxy had not read the request
 	}
-	a.violate(FinalAnswerRule, e, "proxy %d closed the connection before it replied to request %s", e.Proxy, e.RequestID)
+	a.violate(FinalReplyRule, e, "proxy %d closed the connection before it replied to request %s", e.Proxy, e.RequestID)
 }
 
 // observeReply checks that a reply is the only one to its request and arrives in time. It reports whether the reply is the
 // first one to a request that was sent.
 func (a *replyCheck) observeReply(e Event) bool {
 	if a.replyCount[e.RequestID]++; a.replyCount[e.RequestID] > 1 {
-		a.violate(FinalAnswerRule, e, "request %s received %d replies", e.RequestID, a.replyCount[e.RequestID])
+		a.violate(FinalReplyRule, e, "request %s received %d replies", e.RequestID, a.replyCount[e.RequestID])
 		return false
 	}
 	sent, ok := a.lastSent[e.RequestID]
 	if !ok {
-		a.violate(FinalAnswerRule, e, "request %s received a reply but was never sent", e.RequestID)
+		a.violate(FinalReplyRule, e, "request %s received a reply but was never sent", e.RequestID)
 		return false
 	}
 	limit := millis(a.routes[e.RequestID].TimeoutMS) + timingSlack
 	if elapsed := e.At - sent.At; elapsed > limit && !a.processes.wasPaused(e.Proxy, sent.At, e.At) {
-		a.violate(FinalAnswerRule, e, "request %s received its reply after %v, limit %v", e.RequestID, elapsed, limit)
+		a.violate(FinalReplyRule, e, "request %s received its reply after %v, limit %v", e.RequestID, elapsed, limit)
 	}
 	return true
 }
@@ -61,7 +61,7 @@
 			continue
 		}
 		if !a.processes.wasKilled(e.Proxy, e.At-killWindow, end) && !a.processes.wasPaused(e.Proxy, e.At, end) {
-			a.violate(FinalAnswerRule, e, "request %s received no reply from proxy %d", id, e.Proxy)
+			a.violate(FinalReplyRule, e, "request %s received no reply from proxy %d", id, e.Proxy)
 		}
 	}
 }
--- a/internal/emulator/attempt_check.go
+++ b/internal/emulator/attempt_check.go
@@ -8,7 +8,7 @@
 	sentDeadlineSlack = 150 * time.Millisecond // by which the deadline sent with an attempt may exceed the client's deadline
 )
 
-// attemptCheck checks LateAttemptRule and ToldDeadlineRule.
+// attemptCheck checks LateAttemptRule and SentDeadlineRule.
 type attemptCheck struct {
 	*findings
 	processes *processHistory
@@ -47,6 +47,6 @@
 	}
 	excess := e.At + millis(e.Figure) - (sentAt + millis(route.TimeoutMS))
 	if excess > sentDeadlineSlack+timingSlack {
-		a.violate(ToldDeadlineRule, e, "node %s received a deadline of %.0f ms for request %s, %v beyond the deadline of the client", e.Node, e.Figure, e.RequestID, excess)
+		a.violate(SentDeadlineRule, e, "node %s received a deadline of %.0f ms for request %s, %v beyond the deadline of the client", e.Node, e.Figure, e.RequestID, excess)
 	}
 }
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -181,12 +181,12 @@
 	if since, given := cache.given[key]; given {
 		return since >= c.written[key]
 	}
-	return cache.warm && c.written[key] == 0 && hashedFloat("warm", key) < c.scenario.Keys.CachedPart && !c.isAbsentLocked(key)
+	return cache.warm && c.written[key] == 0 && hashedFloat("warm", key) < c.scenario.Keys.CachedFraction && !c.isAbsentLocked(key)
 }
 
 // isAbsentLocked reports whether the origin has no such key by now.
 func (c *cluster) isAbsentLocked(key string) bool {
-	part := c.scenario.NegativeCache.AbsentPart
+	part := c.scenario.NegativeCache.AbsentFraction
 	return part > 0 && c.written[key] == 0 && hashedFloat("missing", key) < part
 }
 
--- a/internal/emulator/eventlog.go
+++ b/internal/emulator/eventlog.go
@@ -23,14 +23,14 @@
 	ProcessEnded     EventKind = "process ended"      // a proxy process ended: Note is the cause
 	QuotaReported    EventKind = "quota reported"     // a proxy reports its fraction of the fleet's limits, Figure, and its rows of nodes, Note
 	ProcessPaused    EventKind = "process paused"     // a proxy process was stopped or continued by a signal: Note is pauseBegins or pauseEnds
-	ProcessLate      EventKind = "process not ready"  // a proxy process was not ready in time
+	ProcessNotReady  EventKind = "process not ready"  // a proxy process was not ready in time
 	CounterReported  EventKind = "counter reported"   // a proxy reports the value Figure of its metric Note
 	LogReported      EventKind = "log reported"       // a proxy has logged Figure lines that begin with Note
 	BadClientIgnored EventKind = "bad client ignored" // a proxy neither sent an error to a bad client nor closed its connection in time
 	LimitExceeded    EventKind = "limit exceeded"     // a proxy process used Figure of the resource Note, more than its limit, and was killed
 	ProcessHung      EventKind = "process hung"       // a proxy process did not reply to pings for Figure seconds
 	CommandInvented  EventKind = "command invented"   // a node has received a command, Note, that no client has sent
-	CrowdCame        EventKind = "crowd changed"      // silent clients connected or left: Note is crowdBegins or crowdEnds
+	CrowdChanged     EventKind = "crowd changed"      // silent clients connected or left: Note is crowdBegins or crowdEnds
 	SentLate         EventKind = "sent late"          // the load generator sent a request Figure milliseconds late
 )
 
@@ -48,7 +48,7 @@
 	pauseEnds   = "ends"
 )
 
-// Notes of CrowdCame events.
+// Notes of CrowdChanged events.
 const (
 	crowdBegins = "connected"
 	crowdEnds   = "left"
--- a/internal/emulator/fake_proxy_test.go
+++ b/internal/emulator/fake_proxy_test.go
@@ -91,20 +91,20 @@
 		{"sheds load", func(string, int) fakeAnswer { return fakeAnswer{text: "-BUSY 10\r\n"} }, ""},
 		{
 			"answers twice", func(id string, _ int) fakeAnswer { return fakeAnswer{text: validValue(id) + validValue(id)} },
-			emulator.FinalAnswerRule,
+			emulator.FinalReplyRule,
 		},
 		{
 			"answers with another request's value", func(id string, _ int) fakeAnswer { return fakeAnswer{text: validValue("x" + id)} },
 			emulator.OwnValueRule,
 		},
-		{"closes", func(_ string, number int) fakeAnswer { return fakeAnswer{closes: number%3 == 0} }, emulator.FinalAnswerRule},
+		{"closes", func(_ string, number int) fakeAnswer { return fakeAnswer{closes: number%3 == 0} }, emulator.FinalReplyRule},
 		{"answers late", func(id string, _ int) fakeAnswer {
 			time.Sleep(1200 * time.Millisecond)
 			return fakeAnswer{text: validValue(id)}
-		}, emulator.FinalAnswerRule},
+		}, emulator.FinalReplyRule},
 		{
 			"closes in the middle of an answer", func(string, int) fakeAnswer { return fakeAnswer{text: "$99\r\nc0:", closes: true} },
-			emulator.FinalAnswerRule,
+			emulator.FinalReplyRule,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -193,10 +193,10 @@
 	if completedPart(r) < 0.85 {
 		t.Errorf("%d asked, %v", len(r.Plan.Requests), countOutcomes(r))
 	}
-	if r.AbsentAnswersPerSecond < 20 || r.AbsentLookupsPerSecond > 0.95*r.AbsentAnswersPerSecond {
-		t.Errorf("clients hear of %.1f missing keys a second, the origin is asked for %.1f", r.AbsentAnswersPerSecond, r.AbsentLookupsPerSecond)
+	if r.AbsentRepliesPerSecond < 20 || r.AbsentLookupsPerSecond > 0.95*r.AbsentRepliesPerSecond {
+		t.Errorf("clients hear of %.1f missing keys a second, the origin is asked for %.1f", r.AbsentRepliesPerSecond, r.AbsentLookupsPerSecond)
 	}
-	t.Logf("%.1f said, %.1f asked, %v after the write at most", r.AbsentAnswersPerSecond, r.AbsentLookupsPerSecond, r.MaxAbsentStaleness)
+	t.Logf("%.1f said, %.1f asked, %v after the write at most", r.AbsentRepliesPerSecond, r.AbsentLookupsPerSecond, r.MaxAbsentStaleness)
 }
 
 // Four of six proxies are killed while discovery refuses most watches. With their state files they serve as before; without they
--- a/internal/emulator/inject.go
+++ b/internal/emulator/inject.go
@@ -293,7 +293,7 @@
 func (r *runner) injectCrowd(ctx context.Context, fault activeFault) {
 	for _, i := range fault.Targets {
 		r.proxies[i].crowds.Add(1)
-		r.log.Record(Event{Kind: CrowdCame, Proxy: i, Note: crowdBegins})
+		r.log.Record(Event{Kind: CrowdChanged, Proxy: i, Note: crowdBegins})
 	}
 	var conns []net.Conn
 	for n := range fault.Count * crowdClients {
@@ -306,7 +306,7 @@
 		_ = conn.Close() // the proxy may have closed it
 	}
 	for _, i := range fault.Targets {
-		r.log.Record(Event{Kind: CrowdCame, Proxy: i, Note: crowdEnds})
+		r.log.Record(Event{Kind: CrowdChanged, Proxy: i, Note: crowdEnds})
 		r.proxies[i].crowds.Add(-1)
 	}
 }
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -12,8 +12,8 @@
 
 // Rules that are checked in every scenario.
 const (
-	// FinalAnswerRule: each accepted request receives one reply before its overall timeout, and nothing after it.
-	FinalAnswerRule Rule = "one final reply"
+	// FinalReplyRule: each accepted request receives one reply before its overall timeout, and nothing after it.
+	FinalReplyRule Rule = "one final reply"
 	// OwnValueRule: the value in a reply was made for the request of the reply.
 	OwnValueRule Rule = "value of its own request"
 	// SingleEffectRule: a write is executed once.
@@ -28,8 +28,8 @@
 	FreshAbsenceRule Rule = "no outdated absence"
 	// LateAttemptRule: no attempt begins more than lateAttemptGrace after the client of its request left or received the reply.
 	LateAttemptRule Rule = "no attempt after the end"
-	// ToldDeadlineRule: no attempt is sent with a deadline more than sentDeadlineSlack beyond that of the client.
-	ToldDeadlineRule Rule = "sent deadlines hold"
+	// SentDeadlineRule: no attempt is sent with a deadline more than sentDeadlineSlack beyond that of the client.
+	SentDeadlineRule Rule = "sent deadlines hold"
 	// ReadyRule: a proxy process serves within readyTimeout after its start.
 	ReadyRule Rule = "ready in time"
 	// MemoryRule: no proxy process uses more memory than its limit.
@@ -183,7 +183,7 @@
 		c.slowStart.observeDelivery(e)
 	case SlowStartBegan:
 		c.slowStart.observeBegin(e)
-	case ProcessLate, CounterReported, LogReported, BadClientIgnored, LimitExceeded, ProcessHung, CommandInvented:
+	case ProcessNotReady, CounterReported, LogReported, BadClientIgnored, LimitExceeded, ProcessHung, CommandInvented:
 		c.process.observe(e)
 	case QuotaReported:
 		c.quota.observeReport(e)
--- a/internal/emulator/invariants_test.go
+++ b/internal/emulator/invariants_test.go
@@ -68,18 +68,18 @@
 
 var replyCases = []ruleCase{
 	{"reply", []emulator.Event{requestSent(0), replyReceived(9, "completed")}, ""},
-	{"no reply", []emulator.Event{requestSent(0), commandReceived(1100, "c1")}, emulator.FinalAnswerRule},
+	{"no reply", []emulator.Event{requestSent(0), commandReceived(1100, "c1")}, emulator.FinalReplyRule},
 	{"no reply yet", []emulator.Event{requestSent(0), commandReceived(1000, "c1")}, ""},
 	{"client left", []emulator.Event{requestSent(0), event(9, emulator.ClientLeft, "a", "", ""), commandReceived(1100, "c1")}, ""},
-	{"closed", []emulator.Event{requestSent(0), connectionClosed("")}, emulator.FinalAnswerRule},
+	{"closed", []emulator.Event{requestSent(0), connectionClosed("")}, emulator.FinalReplyRule},
 	{"closed when reused", []emulator.Event{requestSent(0), connectionClosed("reused"), requestSent(10), replyReceived(19, "shed")}, ""},
 	{"closed after a kill", []emulator.Event{requestSent(0), processEnded(9, "killed"), connectionClosed("")}, ""},
-	{"closed after a graceful shutdown", []emulator.Event{requestSent(0), processEnded(9, "stopped"), connectionClosed("")}, emulator.FinalAnswerRule},
+	{"closed after a graceful shutdown", []emulator.Event{requestSent(0), processEnded(9, "stopped"), connectionClosed("")}, emulator.FinalReplyRule},
 	{"closed before a kill", []emulator.Event{requestSent(0), connectionClosed(""), processEnded(10, "killed")}, ""},
-	{"closed before a graceful shutdown", []emulator.Event{requestSent(0), connectionClosed(""), processEnded(10, "stopped")}, emulator.FinalAnswerRule},
-	{"late reply", []emulator.Event{requestSent(0), replyReceived(1051, "shed")}, emulator.FinalAnswerRule},
-	{"two replies", []emulator.Event{requestSent(0), replyReceived(9, "shed"), replyReceived(10, "shed")}, emulator.FinalAnswerRule},
-	{"reply without a request", []emulator.Event{replyReceived(9, "shed")}, emulator.FinalAnswerRule},
+	{"closed before a graceful shutdown", []emulator.Event{requestSent(0), connectionClosed(""), processEnded(10, "stopped")}, emulator.FinalReplyRule},
+	{"late reply", []emulator.Event{requestSent(0), replyReceived(1051, "shed")}, emulator.FinalReplyRule},
+	{"two replies", []emulator.Event{requestSent(0), replyReceived(9, "shed"), replyReceived(10, "shed")}, emulator.FinalReplyRule},
+	{"reply without a request", []emulator.Event{replyReceived(9, "shed")}, emulator.FinalReplyRule},
 	{"absent soon after the write", []emulator.Event{writeExecuted(1, "k1"), requestSent(100), absentReply(109)}, ""},
 	{"absent long after the write", []emulator.Event{writeExecuted(1, "k1"), requestSent(9000), absentReply(9009)}, emulator.FreshAbsenceRule},
 	{"absent but always existing", []emulator.Event{requestSent(0), absentReply(9)}, emulator.FreshAbsenceRule},
@@ -146,7 +146,7 @@
 	{"attempt of a paused proxy", []emulator.Event{
 		requestSent(0), clientLeft(), processPaused(110, "begins"), processPaused(400, "ends"), attemptReceived(410, "c1"),
 	}, ""},
-	{"sent deadline over the slack", []emulator.Event{requestSent(0), attemptWithTimeout(500, 701), replyReceived(600, "completed")}, emulator.ToldDeadlineRule},
+	{"sent deadline over the slack", []emulator.Event{requestSent(0), attemptWithTimeout(500, 701), replyReceived(600, "completed")}, emulator.SentDeadlineRule},
 	{"sent deadline within the slack", []emulator.Event{requestSent(0), attemptWithTimeout(500, 700), replyReceived(600, "completed")}, ""},
 }
 
@@ -170,7 +170,7 @@
 }
 
 var processCases = []ruleCase{
-	{"not ready", []emulator.Event{event(2000, emulator.ProcessLate, "", "", "")}, emulator.ReadyRule},
+	{"not ready", []emulator.Event{event(2000, emulator.ProcessNotReady, "", "", "")}, emulator.ReadyRule},
 	{"invariant violation logged", []emulator.Event{reportedByProxy(emulator.LogReported, "invariant violated", 1)}, emulator.InvariantRule},
 	{"two violations counted, one of them logged and excused by a pause", []emulator.Event{
 		reportedByProxy(emulator.CounterReported, "woodproxy_invariant_violations_total", 2), reportedByProxy(emulator.LogReported, "excused by a pause", 1),
@@ -192,14 +192,14 @@
 	{"hung while paused", []emulator.Event{
 		processPaused(500, "begins"), processPaused(1500, "ends"), reportedByProxy(emulator.ProcessHung, "", 5.1),
 	}, ""},
-	{"closed unread during a crowd", []emulator.Event{event(1, emulator.CrowdCame, "", "", "connected"), requestSent(5), connectionClosed("")}, ""},
+	{"closed unread during a crowd", []emulator.Event{event(1, emulator.CrowdChanged, "", "", "connected"), requestSent(5), connectionClosed("")}, ""},
 	{"closed unread after two crowds have left", []emulator.Event{
-		event(1, emulator.CrowdCame, "", "", "connected"), event(2, emulator.CrowdCame, "", "", "connected"), event(3, emulator.CrowdCame, "", "", "left"),
-		event(4, emulator.CrowdCame, "", "", "left"), requestSent(5), connectionClosed(""),
-	}, emulator.FinalAnswerRule},
+		event(1, emulator.CrowdChanged, "", "", "connected"), event(2, emulator.CrowdChanged, "", "", "connected"), event(3, emulator.CrowdChanged, "", "", "left"),
+		event(4, emulator.CrowdChanged, "", "", "left"), requestSent(5), connectionClosed(""),
+	}, emulator.FinalReplyRule},
 	{"closed during a crowd after the request was forwarded", []emulator.Event{
-		event(1, emulator.CrowdCame, "", "", "connected"), requestSent(5), event(6, emulator.AttemptReceived, "a", "c1", ""), connectionClosed(""),
-	}, emulator.FinalAnswerRule},
+		event(1, emulator.CrowdChanged, "", "", "connected"), requestSent(5), event(6, emulator.AttemptReceived, "a", "c1", ""), connectionClosed(""),
+	}, emulator.FinalReplyRule},
 	{"invented command", []emulator.Event{event(2000, emulator.CommandInvented, "b", "c1", "")}, emulator.InventedRule},
 }
 
--- a/internal/emulator/lateness_test.go
+++ b/internal/emulator/lateness_test.go
@@ -19,11 +19,11 @@
 		violation emulator.Violation
 		excused   bool
 	}{
-		{"ends before the margin", violation(emulator.FinalAnswerRule, 100, 600), false},
-		{"ends within the margin", violation(emulator.FinalAnswerRule, 100, 800), true},
-		{"spans the late send", violation(emulator.FinalAnswerRule, 100, 3000), true},
-		{"begins within the margin", violation(emulator.FinalAnswerRule, 1200, 3000), true},
-		{"begins after the margin", violation(emulator.FinalAnswerRule, 1400, 3000), false},
+		{"ends before the margin", violation(emulator.FinalReplyRule, 100, 600), false},
+		{"ends within the margin", violation(emulator.FinalReplyRule, 100, 800), true},
+		{"spans the late send", violation(emulator.FinalReplyRule, 100, 3000), true},
+		{"begins within the margin", violation(emulator.FinalReplyRule, 1200, 3000), true},
+		{"begins after the margin", violation(emulator.FinalReplyRule, 1400, 3000), false},
 		{"rule independent of timing", violation(emulator.MemoryRule, 900, 1000), false},
 		{"rule checked at the end of the run", violation(emulator.ResidueRule, 9000, 9000), true},
 	} {
@@ -36,12 +36,12 @@
 	}
 }
 
-func TestLatePartCountsOverlapsOnce(t *testing.T) {
+func TestLateFractionCountsOverlapsOnce(t *testing.T) {
 	report := &emulator.Report{
 		Plan:          &emulator.Plan{Scenario: &emulator.Scenario{LengthS: 10}},
 		LateSendTimes: []time.Duration{time.Second, 1100 * time.Millisecond, 5 * time.Second},
 	}
-	if part := report.LatePart(); part < 0.129 || part > 0.131 {
+	if part := report.LateFraction(); part < 0.129 || part > 0.131 {
 		t.Errorf("got late part %.4f, want 0.13", part)
 	}
 }
--- a/internal/emulator/limit_watch.go
+++ b/internal/emulator/limit_watch.go
@@ -87,9 +87,9 @@
 	return len(entries)
 }
 
-// watchAnswers pings a process from the time it is ready until it ends or is stopped. It records a process that has not
+// watchForHang pings a process from the time it is ready until it ends or is stopped. It records a process that has not
 // replied for hungTimeout as hung. HungRule later excuses processes that were paused within that time.
-func (r *runner) watchAnswers(i int, process *incarnation) {
+func (r *runner) watchForHang(i int, process *incarnation) {
 	m := r.proxies[i]
 	answeredAt := time.Now()
 	for {
--- a/internal/emulator/needs.go
+++ b/internal/emulator/needs.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Needs is the resource usage of a proxy in a scenario, as the mean over all proxies.
-type Needs struct {
-	CPU           time.Duration
-	MemoryMB      float64 // peak
-	Descriptors   float64 // peak
-	ConnsToNodes  float64 // connections opened to caches and the origin
-	ListBytes     float64 // bytes received from discovery
-	CompletedPart float64 // fraction of the requests that completed
+// ResourceUsage is the resource usage of a proxy in a scenario, as the mean over all proxies.
+type ResourceUsage struct {
+	CPU               time.Duration
+	MemoryMB          float64 // peak
+	Descriptors       float64 // peak
+	ConnsToNodes      float64 // connections opened to caches and the origin
+	ListBytes         float64 // bytes received from discovery
+	CompletedFraction float64 // fraction of the requests that completed
 }
 
 // recordResourceUsage updates the peak usage of a proxy from one measurement.
@@ -21,8 +21,8 @@
 }
 
 // measureResourceUsage returns the mean resource usage of the proxies. It must be called after all processes have ended.
-func (r *runner) measureResourceUsage() Needs {
-	var needs Needs
+func (r *runner) measureResourceUsage() ResourceUsage {
+	var needs ResourceUsage
 	for i, m := range r.proxies {
 		needs.MemoryMB += m.peakMemoryMB
 		needs.Descriptors += float64(m.peakDescriptors)
@@ -41,7 +41,7 @@
 			completed++
 		}
 	}
-	needs.CompletedPart = float64(completed) / float64(max(len(r.plan.Requests), 1))
+	needs.CompletedFraction = float64(completed) / float64(max(len(r.plan.Requests), 1))
 	return needs
 }
 
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -248,7 +248,7 @@
 	proxy = n.cluster.proxyFor(id, proxy)
 	n.cluster.checkSent(n, proxy, id, clientCommand{words[0], key, facts, words[4]})
 	n.cluster.log.Record(Event{
-		Kind: AttemptReceived, RequestID: id, Proxy: proxy, Node: n.Name, Note: idempotencyKeyOf(facts), Figure: waitOf(facts),
+		Kind: AttemptReceived, RequestID: id, Proxy: proxy, Node: n.Name, Note: idempotencyKeyOf(facts), Figure: timeoutOf(facts),
 	})
 	command := n.nextMode(id)
 	closes := command.mode == modeCloses
@@ -347,7 +347,7 @@
 	n.cluster.checkSent(n, fetch.proxy, id, received)
 	n.cluster.log.Record(Event{
 		Kind: AttemptReceived, RequestID: id, Proxy: fetch.proxy, Node: n.Name, Note: fetch.idempotencyKey,
-		Figure: waitOf(request.Header.Get("X-Facts")),
+		Figure: timeoutOf(request.Header.Get("X-Facts")),
 	})
 	command := n.nextMode(id)
 	if command.mode != modeServe {
--- a/internal/emulator/plan.go
+++ b/internal/emulator/plan.go
@@ -57,11 +57,11 @@
 			At: seconds(at), ID: fmt.Sprintf("%08x%08x", uint32(seed), len(requests)), Key: keyName(zipf.Uint64()),
 			Route: d.pickRoute(random.Float64()), Proxy: random.IntN(d.Proxies),
 		}
-		if random.Float64() < d.Load.LeavingPart {
+		if random.Float64() < d.Load.LeavingFraction {
 			r.LeavesAfter = millis(d.Routes[r.Route].TimeoutMS / 4)
 		}
-		if d.Load.DrippedPart > 0 {
-			r.Dripped = random.Float64() < d.Load.DrippedPart
+		if d.Load.DrippedFraction > 0 {
+			r.Dripped = random.Float64() < d.Load.DrippedFraction
 		}
 		requests = append(requests, r)
 	}
--- a/internal/emulator/process_check.go
+++ b/internal/emulator/process_check.go
@@ -15,7 +15,7 @@
 
 func (p *processCheck) observe(e Event) {
 	switch e.Kind {
-	case ProcessLate:
+	case ProcessNotReady:
 		p.violate(ReadyRule, e, "proxy %d is not ready %v after its start", e.Proxy, readyTimeout)
 	case LogReported:
 		if e.Note == noteExcused {
--- a/internal/emulator/process_history.go
+++ b/internal/emulator/process_history.go
@@ -23,7 +23,7 @@
 			h.pauses[e.Proxy] = append(h.pauses[e.Proxy], e.At)
 		case e.Kind == LogReported && e.Note == noteExcused:
 			h.excused[e.Proxy] += e.Figure
-		case e.Kind == CrowdCame:
+		case e.Kind == CrowdChanged:
 			h.observeCrowd(e, crowds)
 		case e.Kind == ProcessEnded && e.Note == endKilled:
 			h.kills[e.Proxy] = append(h.kills[e.Proxy], e.At)
--- a/internal/emulator/proxy_process.go
+++ b/internal/emulator/proxy_process.go
@@ -63,7 +63,7 @@
 	if err := r.awaitReady(ctx, i, started); err != nil {
 		return err
 	}
-	r.processWatchers.Go(func() { r.watchAnswers(i, started) })
+	r.processWatchers.Go(func() { r.watchForHang(i, started) })
 	return nil
 }
 
@@ -112,7 +112,7 @@
 			return ctx.Err()
 		}
 	}
-	r.log.Record(Event{Kind: ProcessLate, Proxy: i})
+	r.log.Record(Event{Kind: ProcessNotReady, Proxy: i})
 	return &StartError{ReadyRule, fmt.Sprintf("proxy %d does not serve", i)}
 }
 
--- a/internal/emulator/reload_faults.go
+++ b/internal/emulator/reload_faults.go
@@ -104,7 +104,7 @@
 	successor := &incarnation{Proxy: process, exited: make(chan struct{}), ended: make(chan struct{})}
 	if !r.awaitAdminReady(ctx, address, readyTimeout) {
 		if ctx.Err() == nil {
-			r.log.Record(Event{Kind: ProcessLate, Proxy: i})
+			r.log.Record(Event{Kind: ProcessNotReady, Proxy: i})
 		}
 		process.Kill()
 		<-process.Done() //nolint:errcheck // it was killed
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -16,7 +16,7 @@
 	OnTime              bool            // at most one request in requestsPerLateSend was sent late
 	CPUMicrosPerRequest float64         // CPU time of all proxies, in microseconds per request; 0 if they are not processes
 
-	Needs Needs
+	ResourceUsage ResourceUsage
 
 	// Gossip.
 
@@ -35,7 +35,7 @@
 	SlowStartPeak          float64 // maximum load of a node in slow start, as a fraction of its overload limit
 	BackgroundLoad         BackgroundLoad
 	AbsentLookupsPerSecond float64 // look-ups of absent keys at the origin, per second
-	AbsentAnswersPerSecond float64 // replies to clients that report an absent key, per second
+	AbsentRepliesPerSecond float64 // replies to clients that report an absent key, per second
 	Recoveries             []RecoveryResult
 	MaxAbsentStaleness     time.Duration // longest time for which a key was reported absent after its write
 	UnansweredMalformed    int           // malformed requests that led to neither an error reply nor the end of the connection
@@ -54,7 +54,7 @@
 	r.measureZoneHealth(report)
 	report.BackgroundLoad = r.summarizeBackgroundLoad(events)
 	report.CPUMicrosPerRequest = float64(r.proxyCPU.Load()) / 1000 / float64(max(len(r.plan.Requests), 1))
-	report.Needs = r.measureResourceUsage()
+	report.ResourceUsage = r.measureResourceUsage()
 	late := 0
 	for _, e := range events {
 		if e.Kind == SentLate {
--- a/internal/emulator/resp.go
+++ b/internal/emulator/resp.go
@@ -97,8 +97,8 @@
 	return ""
 }
 
-// waitOf returns the timeout in the facts of an attempt in milliseconds, or 0 if there is none.
-func waitOf(facts string) float64 {
+// timeoutOf returns the timeout in the facts of an attempt in milliseconds, or 0 if there is none.
+func timeoutOf(facts string) float64 {
 	for fact := range strings.SplitSeq(facts, ",") {
 		if text, ok := strings.CutPrefix(fact, "d="); ok {
 			wait, _ := strconv.ParseFloat(text, 64) // 0 if it is not a number
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -32,8 +32,8 @@
 // NegativeCacheSettings configures absent keys, which the origin lacks until they are written, and the proxies' negative
 // cache.
 type NegativeCacheSettings struct {
-	AbsentPart float64 `toml:"part"` // fraction of the keys that are absent
-	On         bool    `toml:"on"`   // proxies have a negative cache
+	AbsentFraction float64 `toml:"part"` // fraction of the keys that are absent
+	On             bool    `toml:"on"`   // proxies have a negative cache
 }
 
 // Values of ZoneHealthSettings.Decision: who decides that a zone is unhealthy. With "" nothing decides it.
@@ -84,19 +84,19 @@
 
 // Keys describes the key space.
 type Keys struct {
-	Count      int     `toml:"count"`
-	Zipf       float64 `toml:"zipf"` // exponent of the Zipf distribution of key popularity
-	CachedPart float64 `toml:"warm"` // fraction of the keys that each cache holds at the start
-	ValueBytes int     `toml:"size"` // size of a value
+	Count          int     `toml:"count"`
+	Zipf           float64 `toml:"zipf"` // exponent of the Zipf distribution of key popularity
+	CachedFraction float64 `toml:"warm"` // fraction of the keys that each cache holds at the start
+	ValueBytes     int     `toml:"size"` // size of a value
 }
 
 // Load describes the load that the clients generate.
 type Load struct {
-	Rate        float64 `toml:"rate"` // requests per second of all clients
-	Steps       []Step  `toml:"steps"`
-	LeavingPart float64 `toml:"impatient"` // fraction of the requests whose client leaves after a quarter of the timeout
-	// DrippedPart is the fraction of the requests that are written byte by byte.
-	DrippedPart float64 `toml:"dripped"`
+	Rate            float64 `toml:"rate"` // requests per second of all clients
+	Steps           []Step  `toml:"steps"`
+	LeavingFraction float64 `toml:"impatient"` // fraction of the requests whose client leaves after a quarter of the timeout
+	// DrippedFraction is the fraction of the requests that are written byte by byte.
+	DrippedFraction float64 `toml:"dripped"`
 	// Connections is the number of connections to each proxy that clients hold throughout and use in turn. With 0, connections
 	// are opened when they are needed.
 	Connections int `toml:"connections"`
--- a/internal/emulator/scenario_check.go
+++ b/internal/emulator/scenario_check.go
@@ -66,11 +66,11 @@
 	c.inRange("fleet.cold_from", d.Fleet.InitialSpeed, 0.01, 1)
 	c.inRange("keys.count", float64(d.Keys.Count), 1, 1e6)
 	c.inRange("keys.zipf", d.Keys.Zipf, 1.001, 5)
-	c.inRange("keys.warm", d.Keys.CachedPart, 0, 1)
+	c.inRange("keys.warm", d.Keys.CachedFraction, 0, 1)
 	c.inRange("keys.size", float64(d.Keys.ValueBytes), 0, 4<<20)
 	c.inRange("load.rate", d.Load.Rate, 0.1, 20000)
-	c.inRange("load.impatient", d.Load.LeavingPart, 0, 1)
-	c.inRange("load.dripped", d.Load.DrippedPart, 0, 1)
+	c.inRange("load.impatient", d.Load.LeavingFraction, 0, 1)
+	c.inRange("load.dripped", d.Load.DrippedFraction, 0, 1)
 	c.inRange("load.connections", float64(d.Load.Connections), 0, 20000)
 }
 
@@ -84,7 +84,7 @@
 		"zones.judged: %s: proxies do not gossip (peers.talk)", mode)
 	c.require(d.Gossip.On || !d.Duties.On, "turns.on: proxies do not gossip (peers.talk)")
 	c.require(d.Gossip.On || !d.NegativeCache.On || d.Proxies <= 1, "missing.on: proxies do not gossip (peers.talk)")
-	c.inRange("missing.part", d.NegativeCache.AbsentPart, 0, 1)
+	c.inRange("missing.part", d.NegativeCache.AbsentFraction, 0, 1)
 	c.inRange("turns.watchers", float64(d.Duties.Watchers), 0, 64)
 	c.inRange("turns.keepers", float64(d.Duties.Owners), 0, 64)
 	c.inRange("peers.hold_s", d.Gossip.HoldDownS, 0, 600)
--- a/internal/experiment/describe.go
+++ b/internal/experiment/describe.go
@@ -19,10 +19,10 @@
 		"a cache held %.1f connections, %d at most\n", fleet.HealthChecksPerSecond, fleet.MeanOpenWatches, fleet.WatchesOpenedPerSecond, fleet.MeanConnsPerNode, fleet.MaxConnsPerNode)
 	describeZones(&text, report)
 	describeRestarts(&text, report)
-	if report.AbsentAnswersPerSecond > 0 {
+	if report.AbsentRepliesPerSecond > 0 {
 		fmt.Fprintf(&text, "missing keys: the origin was asked for %.1f a second, clients heard of %.1f; "+
 			"one was called missing %.0f ms after it was written at most\n",
-			report.AbsentLookupsPerSecond, report.AbsentAnswersPerSecond, report.MaxAbsentStaleness.Seconds()*1000)
+			report.AbsentLookupsPerSecond, report.AbsentRepliesPerSecond, report.MaxAbsentStaleness.Seconds()*1000)
 	}
 	if report.SlowStartPeak > 0 {
 		fmt.Fprintf(&text, "the most a cold node took in a second, of all proxies, is %.2f of what fells it\n", report.SlowStartPeak)
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -92,7 +92,7 @@
 		Fleet:                report.BackgroundLoad,
 		NegativeCache: NegativeCacheStats{
 			OriginMissesPerSecond: report.AbsentLookupsPerSecond,
-			ClientMissesPerSecond: report.AbsentAnswersPerSecond,
+			ClientMissesPerSecond: report.AbsentRepliesPerSecond,
 			StaleMS:               report.MaxAbsentStaleness.Seconds() * 1000,
 		},
 	}
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -178,9 +178,9 @@
 		s.Fleet.Zones, s.Fleet.CrossZoneMS = zones, d.float(0.5, 3)
 	}
 	s.Origin = emulator.NodeCapacity{Cores: d.between(4, 12), ServiceMS: d.float(4, 15), Queue: 100}
-	s.Keys = emulator.Keys{Count: d.between(500, 4000), Zipf: 1.1, CachedPart: d.float(0.5, 0.95), ValueBytes: d.between(0, 2) * 3000}
+	s.Keys = emulator.Keys{Count: d.between(500, 4000), Zipf: 1.1, CachedFraction: d.float(0.5, 0.95), ValueBytes: d.between(0, 2) * 3000}
 	capacity := float64(s.Fleet.Nodes*s.Fleet.Cores) * 1000 / s.Fleet.ServiceMS
-	s.Load = emulator.Load{Rate: min(d.float(0.15, 0.6)*capacity, 900), LeavingPart: d.float(0, 0.1), DrippedPart: d.float(0, 0.05)}
+	s.Load = emulator.Load{Rate: min(d.float(0.15, 0.6)*capacity, 900), LeavingFraction: d.float(0, 0.1), DrippedFraction: d.float(0, 0.05)}
 	if d.chance(2) {
 		at := d.float(1, s.LengthS/2)
 		s.Load.Steps = []emulator.Step{{AtS: at, Factor: 1.5}, {AtS: at + 1, Factor: 1}}
--- a/internal/soak/plants.go
+++ b/internal/soak/plants.go
@@ -40,7 +40,7 @@
 		{File: roundTripFile, Old: "	if refusal, err := u.writeRequest(attempt, until); !refusal.Permitted() {", New: "	if time.Now().UnixNano()%20 == 0 {\n		time.Sleep(400 * time.Millisecond)\n	}\n	if refusal, err := u.writeRequest(attempt, until); !refusal.Permitted() {"},
 		{File: "internal/proxy/upstream_write.go", Old: "	if attempt.request.life.Finished() {\n		limit = pastDeadline", New: "	if attempt.request == nil {\n		limit = pastDeadline"},
 	}, nil, nil},
-	{"told-deadline", emulator.ToldDeadlineRule, []faultbuild.Patch{
+	{"told-deadline", emulator.SentDeadlineRule, []faultbuild.Patch{
 		{File: roundTripFile, Old: "	facts := wire.AppendFacts(nil, req.facts, u.sentWaitMS)", New: "	facts := wire.AppendFacts(nil, req.facts, u.sentWaitMS+400)"},
 	}, nil, nil},
 	{"closed-unanswered", emulator.InvariantRule, []faultbuild.Patch{
@@ -71,7 +71,7 @@
 	{"second-reply", emulator.InvariantRule, []faultbuild.Patch{
 		{File: slotFile, Old: "	s.finished = true\n	r.endRequest(s.request, event)", New: "	s.finished = true\n	r.endRequest(s.request, event)\n	if len(s.request.id) > 0 && s.request.id[len(s.request.id)-1] == '7' {\n		r.endRequest(s.request, event)\n	}"},
 	}, nil, nil},
-	{"late-answer", emulator.FinalAnswerRule, []faultbuild.Patch{
+	{"late-answer", emulator.FinalReplyRule, []faultbuild.Patch{
 		{File: "balancer/deadline.go", Old: "	return b.now >= min(b.current.giveUpAt, b.current.deadline-b.tick)", New: "	return b.now >= min(b.current.giveUpAt, b.current.deadline-b.tick)+6000"},
 	}, []string{"silent"}, nil},
 	{"memory", emulator.MemoryRule, []faultbuild.Patch{
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -107,7 +107,7 @@
 	case err != nil:
 		return nil, err
 	}
-	outcome.Violations, outcome.IdleFaults, outcome.LatePart = report.Unexcused(), report.IdleFaults(), report.LatePart()
+	outcome.Violations, outcome.IdleFaults, outcome.LatePart = report.Unexcused(), report.IdleFaults(), report.LateFraction()
 	switch {
 	case len(outcome.Violations) > 0:
 		outcome.Verdict = Violated
