--- a/internal/emulator/absence_check.go
+++ b/internal/emulator/absence_check.go
@@ -11,7 +11,7 @@
 	scenario     *Scenario
 	keys         map[string]string        // by request
 	firstWritten map[string]time.Duration // by key
-	maxStaleness time.Duration            // the longest for which a key was reported missing after it was written
+	maxStaleness time.Duration            // longest time for which a key was reported absent after its write
 }
 
 func (a *absenceCheck) observeWrite(e Event) {
@@ -20,20 +20,20 @@
 	}
 }
 
-// observeAbsent checks an answer that there is no such key to a request that was asked at a moment.
-func (a *absenceCheck) observeAbsent(e Event, askedAt time.Duration) {
+// observeAbsent checks a reply that reports an absent key, to a request that was sent at sentAt.
+func (a *absenceCheck) observeAbsent(e Event, sentAt time.Duration) {
 	key, limit := a.keys[e.RequestID], a.scenario.maxAbsentStaleness()
 	written, ok := a.firstWritten[key]
-	if !ok && hashedFloat("missing", key) >= a.scenario.NegativeCache.AbsentPart {
-		a.violate(FreshAbsenceRule, e, "key %s of request %s was always there, and is called missing", key, e.RequestID)
+	if !ok && hashedFloat("missing", key) >= a.scenario.NegativeCache.AbsentFraction {
+		a.violate(FreshAbsenceRule, e, "key %s of request %s has always existed and is reported absent", key, e.RequestID)
 		return
 	}
-	staleness := askedAt - written
+	staleness := sentAt - written
 	if !ok || staleness <= 0 {
 		return
 	}
 	a.maxStaleness = max(a.maxStaleness, staleness)
 	if staleness > limit && !a.processes.wasPaused(e.Proxy, written, e.At) {
-		a.violate(FreshAbsenceRule, e, "key %s of request %s is called missing %v after it was written, over %v", key, e.RequestID, staleness, limit)
+		a.violate(FreshAbsenceRule, e, "key %s of request %s is reported absent %v after it was written, limit %v", key, e.RequestID, staleness, limit)
 	}
 }
--- a/internal/emulator/needs.go
+++ b/internal/emulator/needs.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Needs is what a proxy has needed in a scenario, in the mean over all proxies.
-type Needs struct {
-	CPU           time.Duration
-	MemoryMB      float64 // at the most
-	Descriptors   float64 // at the most
-	ConnsToNodes  float64 // made to caches and the origin
-	ListBytes     float64 // of discovery
-	CompletedPart float64 // of the requests
+// ResourceUsage is the resource usage of a proxy in a scenario, as the mean over all proxies.
+type ResourceUsage struct {
+	CPU               time.Duration
+	MemoryMB          float64 // peak
+	Descriptors       float64 // peak
+	ConnsToNodes      float64 // connections opened to caches and the origin
+	ListBytes         float64 // bytes received from discovery
+	CompletedFraction float64 // fraction of the requests that completed
 }
 
-// recordUse notes what a process uses at a moment.
-func (m *managedProxy) recordUse(memoryMB float64, descriptors int) {
+// recordResourceUsage updates the peak usage of a proxy from one measurement.
+func (m *managedProxy) recordResourceUsage(memoryMB float64, descriptors int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.peakMemoryMB = max(m.peakMemoryMB, memoryMB)
 	m.peakDescriptors = max(m.peakDescriptors, descriptors)
 }
 
-// measureNeeds calculates what a proxy has needed, once all processes have ended.
-func (r *runner) measureNeeds() Needs {
-	var needs Needs
+// measureResourceUsage returns the mean resource usage of the proxies. It must be called after all processes have ended.
+func (r *runner) measureResourceUsage() ResourceUsage {
+	var needs ResourceUsage
 	for i, m := range r.proxies {
 		needs.MemoryMB += m.peakMemoryMB
 		needs.Descriptors += float64(m.peakDescriptors)
@@ -41,12 +41,12 @@
 			completed++
 		}
 	}
-	needs.CompletedPart = float64(completed) / float64(max(len(r.plan.Requests), 1))
+	needs.CompletedFraction = float64(completed) / float64(max(len(r.plan.Requests), 1))
 	return needs
 }
 
-// WithServers returns the scenario with another number of caches, of which all together have the same capacity; faults
-// hit the same part of them.
+// WithServers returns a copy of the scenario with another number of caches. Their total capacity is unchanged, and faults
+// affect the same fraction of them.
 func (d *Scenario) WithServers(servers int) *Scenario {
 	scaled, factor := *d, float64(servers)/float64(d.Fleet.Nodes)
 	scaled.Fleet.Nodes = servers
