--- a/rebalance/errors.go
+++ b/rebalance/errors.go
@@ -18,7 +18,7 @@
 func (e *InventoryError) TypeName() string { return "moves.InventoryError" }
 
 func (e *InventoryError) Error() string {
-	return fmt.Sprintf("%s: %s; mend the inventory, nothing was planned", e.Path, e.Reason)
+	return fmt.Sprintf("%s: %s; correct the inventory, nothing was planned", e.Path, e.Reason)
 }
 
 // Shortfall is the additional capacity in bytes that a node needs.
@@ -51,8 +51,8 @@
 func (e *CapacityError) TypeName() string { return "moves.RoomError" }
 
 func (e *CapacityError) Error() string {
-	return fmt.Sprintf("room: shards have %d bytes, nodes that stay room for %d; lacking: %s; "+
-		"give these so much more, or add a node", e.NeededBytes, e.CapacityBytes, formatShortfalls(e.Shortfalls))
+	return fmt.Sprintf("capacity: shards need %d bytes, nodes that are not draining have %d; "+
+		"missing: %s; add this capacity, or add a node", e.NeededBytes, e.CapacityBytes, formatShortfalls(e.Shortfalls))
 }
 
 // ShardPlacementError reports a shard that no node can store, or that is pinned to a node where it may not be.
@@ -68,10 +68,10 @@
 
 func (e *ShardPlacementError) Error() string {
 	if e.Pinned {
-		return fmt.Sprintf("shard %d: pinned to a node that it has to leave; take the pin off, or keep that node", e.ShardID)
+		return fmt.Sprintf("shard %d: pinned to a node where it may not stay; remove the pin, or let it stay", e.ShardID)
 	}
-	return fmt.Sprintf("shard %d: of %d bytes, and no node that it may be on has room for more than %d; "+
-		"give one as much, or let it into another zone", e.ShardID, e.Bytes, e.LargestCapacity)
+	return fmt.Sprintf("shard %d: has %d bytes, but no node that it may be on has a capacity of more than %d; "+
+		"increase the capacity of one, or allow another zone", e.ShardID, e.Bytes, e.LargestCapacity)
 }
 
 // BalanceError reports that loads can't be balanced within the slack.
@@ -85,10 +85,11 @@
 
 func (e *BalanceError) Error() string {
 	if e.FeasibleSlack > 0 {
-		return fmt.Sprintf("slack: %v: loads can't be so even; with %.3f they can", e.Slack, e.FeasibleSlack)
+		return fmt.Sprintf("slack: %v: loads can't be balanced within this slack; a slack of %.3f is feasible",
+			e.Slack, e.FeasibleSlack)
 	}
-	return fmt.Sprintf("slack: %v: loads can't be so even, nor with 1; "+
-		"take off pins or zones, or give nodes other weights", e.Slack)
+	return fmt.Sprintf("slack: %v: loads can't be balanced, even with a slack of 1; "+
+		"remove pins or zones, or change node weights", e.Slack)
 }
 
 // ScheduleError reports that a placement was found, but no order of migrations that leads to it.
@@ -101,7 +102,7 @@
 func (e *ScheduleError) TypeName() string { return "moves.StuckError" }
 
 func (e *ScheduleError) Error() string {
-	return fmt.Sprintf("order: %d shards can't go on, since none has room to go first; lacking: %s; "+
-		"so much more at one of these, or at any other node for the time of the moves, helps",
+	return fmt.Sprintf("order: %d shards can't be migrated, since no node has capacity to receive one first; missing: %s; "+
+		"add this capacity to one of these nodes, or to any other node until the migrations are done",
 		e.PendingShards, formatShortfalls(e.Shortfalls))
 }
