--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -183,12 +183,12 @@
 	if insertedWrite, ok := cache.insertedAt[key]; ok {
 		return insertedWrite >= c.written[key]
 	}
-	return cache.warm && c.written[key] == 0 && hashedFloat("warm", key) < c.scenario.Keys.CachedPart && !c.isAbsentLocked(key)
+	return cache.warm && c.written[key] == 0 && hashedFloat("warm", key) < c.scenario.Keys.CachedFraction && !c.isAbsentLocked(key)
 }
 
 // isAbsentLocked reports whether the origin lacks a key: the key was absent at the start and has not been written since.
 func (c *cluster) isAbsentLocked(key string) bool {
-	part := c.scenario.NegativeCache.AbsentPart
+	part := c.scenario.NegativeCache.AbsentFraction
 	return part > 0 && c.written[key] == 0 && hashedFloat("missing", key) < part
 }
 
--- a/internal/emulator/fake_proxy_test.go
+++ b/internal/emulator/fake_proxy_test.go
@@ -93,20 +93,20 @@
 		{"sheds load", func(string, int) fakeReply { return fakeReply{text: "-BUSY 10\r\n"} }, ""},
 		{
 			"replies twice", func(id string, _ int) fakeReply { return fakeReply{text: validReply(id) + validReply(id)} },
-			emulator.FinalAnswerRule,
+			emulator.FinalReplyRule,
 		},
 		{
 			"replies with the value of another request", func(id string, _ int) fakeReply { return fakeReply{text: validReply("x" + id)} },
 			emulator.OwnValueRule,
 		},
-		{"closes without a reply", func(_ string, number int) fakeReply { return fakeReply{closes: number%3 == 0} }, emulator.FinalAnswerRule},
+		{"closes without a reply", func(_ string, number int) fakeReply { return fakeReply{closes: number%3 == 0} }, emulator.FinalReplyRule},
 		{"replies late", func(id string, _ int) fakeReply {
 			time.Sleep(1200 * time.Millisecond)
 			return fakeReply{text: validReply(id)}
-		}, emulator.FinalAnswerRule},
+		}, emulator.FinalReplyRule},
 		{
 			"closes in the middle of a reply", func(string, int) fakeReply { return fakeReply{text: "$99\r\nc0:", closes: true} },
-			emulator.FinalAnswerRule,
+			emulator.FinalReplyRule,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -196,12 +196,12 @@
 	if completedFraction(r) < 0.85 {
 		t.Errorf("%d requests: %v; too few were completed", len(r.Plan.Requests), countOutcomes(r))
 	}
-	if r.AbsentAnswersPerSecond < 20 || r.AbsentLookupsPerSecond > 0.95*r.AbsentAnswersPerSecond {
+	if r.AbsentRepliesPerSecond < 20 || r.AbsentLookupsPerSecond > 0.95*r.AbsentRepliesPerSecond {
 		t.Errorf("%.1f replies/s for absent keys, want at least 20; %.1f origin look-ups/s, want at most 95%% of the replies",
-			r.AbsentAnswersPerSecond, r.AbsentLookupsPerSecond)
+			r.AbsentRepliesPerSecond, r.AbsentLookupsPerSecond)
 	}
 	t.Logf("absent keys: %.1f replies/s, %.1f origin look-ups/s, reported for at most %v after the write",
-		r.AbsentAnswersPerSecond, r.AbsentLookupsPerSecond, r.MaxAbsentStaleness)
+		r.AbsentRepliesPerSecond, r.AbsentLookupsPerSecond, r.MaxAbsentStaleness)
 }
 
 // Four of six proxies are killed while discovery refuses watches. With state files, service recovers; without them, the
--- a/internal/emulator/lateness.go
+++ b/internal/emulator/lateness.go
@@ -5,50 +5,53 @@
 	"time"
 )
 
-// lateMomentSpan is how far before and behind a late moment of the machine things may have gone otherwise for it.
-const lateMomentSpan = 300 * time.Millisecond
+// lateSendMargin is the time before and after a late send of the load generator within which the overloaded machine may have
+// affected the proxies.
+const lateSendMargin = 300 * time.Millisecond
 
-// untimedRules are the rules whose violations are seen only at the end of a run, whenever they happened.
-var untimedRules = []Rule{InvariantRule, ResidueRule}
+// endOfRunRules are the rules whose violations are detected only at the end of a run, whatever the time at which they
+// occurred.
+var endOfRunRules = []Rule{InvariantRule, ResidueRule}
 
-// plainRules are the rules that no lateness of the machine breaks.
-var plainRules = []Rule{MemoryRule, DescriptorRule, CrashRule, InventedRule, OwnValueRule}
+// timingIndependentRules are the rules that an overloaded machine does not break.
+var timingIndependentRules = []Rule{MemoryRule, DescriptorRule, CrashRule, InventedRule, OwnValueRule}
 
-// Unexcused returns the violations that no late moment of the machine may explain: none lies between the first event of
-// the request and the violation, or near to them.
+// Unexcused returns the violations that an overloaded machine does not explain: no send was late between the first event of
+// the request and the violation, or within lateSendMargin of either. A violation of endOfRunRules is excused by any late
+// send, one of timingIndependentRules by none.
 func (r *Report) Unexcused() []Violation {
 	return slices.DeleteFunc(slices.Clone(r.Violations), func(v Violation) bool {
-		if slices.Contains(plainRules, v.Rule) {
+		if slices.Contains(timingIndependentRules, v.Rule) {
 			return false
 		}
-		if slices.Contains(untimedRules, v.Rule) {
-			return len(r.LateMoments) > 0
+		if slices.Contains(endOfRunRules, v.Rule) {
+			return len(r.LateSendTimes) > 0
 		}
 		from := v.At
 		for i := range v.Events {
 			from = min(from, v.Events[i].At)
 		}
-		return r.wasLate(from-lateMomentSpan, v.At+lateMomentSpan)
+		return r.hasLateSend(from-lateSendMargin, v.At+lateSendMargin)
 	})
 }
 
-func (r *Report) wasLate(from, to time.Duration) bool {
-	return slices.ContainsFunc(r.LateMoments, func(at time.Duration) bool { return at >= from && at <= to })
+func (r *Report) hasLateSend(from, to time.Duration) bool {
+	return slices.ContainsFunc(r.LateSendTimes, func(at time.Duration) bool { return at >= from && at <= to })
 }
 
-// LatePart returns the part of the scenario's time that lies near late moments, for which it shows nothing.
-func (r *Report) LatePart() float64 {
+// LateFraction returns the fraction of the scenario's length that lies within lateSendMargin of late sends and proves nothing.
+func (r *Report) LateFraction() float64 {
 	late, until := time.Duration(0), time.Duration(0)
-	for _, at := range r.LateMoments { // in order
-		from := max(at-lateMomentSpan, until)
-		until = at + lateMomentSpan
+	for _, at := range r.LateSendTimes { // ascending
+		from := max(at-lateSendMargin, until)
+		until = at + lateSendMargin
 		late += until - from
 	}
 	return min(late.Seconds()/r.Plan.Scenario.LengthS, 1)
 }
 
-// faultTraces are the events, and notes where they have one, that show that a fault of a kind has done something.
-var faultTraces = map[string]Event{
+// faultEffects are the events, and notes if they have any, that prove that a fault of a kind had an effect.
+var faultEffects = map[string]Event{
 	"kill":        {Kind: ProcessEnded, Note: endKilled},
 	"mass-kill":   {Kind: ProcessEnded, Note: endKilled},
 	"restart":     {Kind: ProcessEnded, Note: endStopped},
@@ -58,15 +61,15 @@
 	"replace":     {Kind: SlowStartBegan},
 }
 
-// IdleFaults returns the kinds of faults of the scenario of which nothing shows that any did something, in order of
-// name. Only kinds that leave a trace in the events are looked at.
+// IdleFaults returns the sorted kinds of those faults of the scenario that had no effect according to the events. Only the
+// kinds in faultEffects are checked.
 func (r *Report) IdleFaults() []string {
 	var idle []string
 	for i := range r.Plan.Faults {
 		kind := r.Plan.Faults[i].Kind
-		trace, traced := faultTraces[kind]
-		shows := func(e Event) bool { return e.Kind == trace.Kind && (trace.Note == "" || e.Note == trace.Note) }
-		if traced && !slices.ContainsFunc(r.Events, shows) {
+		effect, known := faultEffects[kind]
+		shows := func(e Event) bool { return e.Kind == effect.Kind && (effect.Note == "" || e.Note == effect.Note) }
+		if known && !slices.ContainsFunc(r.Events, shows) {
 			idle = append(idle, kind)
 		}
 	}
--- a/internal/server/api_golden_test.go
+++ b/internal/server/api_golden_test.go
@@ -156,7 +156,7 @@
 	{"forget", fixedService{}, "POST", "/control/missing/forget", ""},
 	{
 		"forget refused",
-		fixedService{clearErr: errors.New("too busy to take it; ask again")},
+		fixedService{clearErr: errors.New("too busy to clear the negative cache; try again")},
 		"POST", "/control/missing/forget", "",
 	},
 	{"forget by the wrong method", fixedService{}, "GET", "/control/missing/forget", ""},
@@ -240,54 +240,54 @@
 // exported fields. Operators' programs match both, so both are written out here independently of the Go identifiers.
 var planErrors = []planError{
 	{
-		&rebalance.InventoryError{Path: "nodes[1]", Reason: "name \"a\" is missing or doubled"},
+		&rebalance.InventoryError{Path: "nodes[1]", Reason: "name \"a\" is empty or a duplicate"},
 		`{"type":"moves.InventoryError",` +
-			`"error":"nodes[1]: name \"a\" is missing or doubled; mend the inventory, nothing was planned",` +
-			`"found":{"Where":"nodes[1]","What":"name \"a\" is missing or doubled"}}`,
+			`"error":"nodes[1]: name \"a\" is empty or a duplicate; correct the inventory, nothing was planned",` +
+			`"found":{"Where":"nodes[1]","What":"name \"a\" is empty or a duplicate"}}`,
 	},
 	{
 		&rebalance.CapacityError{Shortfalls: []rebalance.Shortfall{{Node: "a", Bytes: 2}, {Node: "b", Bytes: 3}}, NeededBytes: 12, CapacityBytes: 10},
 		`{"type":"moves.RoomError",` +
-			`"error":"room: shards have 12 bytes, nodes that stay room for 10; lacking: a 2 bytes, b 3 bytes;` +
-			` give these so much more, or add a node",` +
+			`"error":"capacity: shards need 12 bytes, nodes that are not draining have 10;` +
+			` missing: a 2 bytes, b 3 bytes; add this capacity, or add a node",` +
 			`"found":{"Lacks":[{"node":"a","bytes":2},{"node":"b","bytes":3}],"Needed":12,"Room":10}}`,
 	},
 	{
 		&rebalance.ShardPlacementError{ShardID: 7, Bytes: 11, LargestCapacity: 10},
 		`{"type":"moves.ShardError",` +
-			`"error":"shard 7: of 11 bytes, and no node that it may be on has room for more than 10;` +
-			` give one as much, or let it into another zone",` +
+			`"error":"shard 7: has 11 bytes, but no node that it may be on has a capacity of more than 10;` +
+			` increase the capacity of one, or allow another zone",` +
 			`"found":{"Shard":7,"Bytes":11,"Largest":10,"Pinned":false}}`,
 	},
 	{
 		&rebalance.ShardPlacementError{ShardID: 7, Bytes: 11, Pinned: true},
 		`{"type":"moves.ShardError",` +
-			`"error":"shard 7: pinned to a node that it has to leave; take the pin off, or keep that node",` +
+			`"error":"shard 7: pinned to a node where it may not stay; remove the pin, or let it stay",` +
 			`"found":{"Shard":7,"Bytes":11,"Largest":0,"Pinned":true}}`,
 	},
 	{
 		&rebalance.BalanceError{Slack: 0.1, FeasibleSlack: 0.25},
 		`{"type":"moves.BalanceError",` +
-			`"error":"slack: 0.1: loads can't be so even; with 0.250 they can",` +
+			`"error":"slack: 0.1: loads can't be balanced within this slack; a slack of 0.250 is feasible",` +
 			`"found":{"Stated":0.1,"Needed":0.25}}`,
 	},
 	{
 		&rebalance.BalanceError{Slack: 0.1},
 		`{"type":"moves.BalanceError",` +
-			`"error":"slack: 0.1: loads can't be so even, nor with 1; take off pins or zones, or give nodes other weights",` +
+			`"error":"slack: 0.1: loads can't be balanced, even with a slack of 1; remove pins or zones, or change node weights",` +
 			`"found":{"Stated":0.1,"Needed":0}}`,
 	},
 	{
 		&rebalance.ScheduleError{PendingShards: 2, Shortfalls: []rebalance.Shortfall{{Node: "a", Bytes: 6}}},
 		`{"type":"moves.StuckError",` +
-			`"error":"order: 2 shards can't go on, since none has room to go first; lacking: a 6 bytes;` +
-			` so much more at one of these, or at any other node for the time of the moves, helps",` +
+			`"error":"order: 2 shards can't be migrated, since no node has capacity to receive one first; missing: a 6 bytes;` +
+			` add this capacity to one of these nodes, or to any other node until the migrations are done",` +
 			`"found":{"Shards":2,"Lacks":[{"node":"a","bytes":6}]}}`,
 	},
 	{
 		&server.PlannerBusyError{Limit: 1},
 		`{"type":"run.BusyError",` +
-			`"error":"1 plan is being made already; ask again once it is done",` +
+			`"error":"1 plan is being computed already; try again when it is done",` +
 			`"found":{"Most":1}}`,
 	},
 	{
--- a/internal/server/toml_golden_test.go
+++ b/internal/server/toml_golden_test.go
@@ -228,7 +228,7 @@
 }
 
 func TestTurnsFileBadInputs(t *testing.T) {
-	const advice = "; give it a figure within, or leave the line out for the usual one"
+	const advice = "; set a value in this range, or omit the line to use the default"
 	turnsTOML.expectErrors(t, []badInput{
 		{`watchers = 5`, `watcher = 5`, "turns: turns.toml: line 1: watcher: unknown"},
 		{
@@ -259,11 +259,11 @@
 	files.peers = ""
 	_, err := readConfig(t, files, server.Config{})
 	expectError(t, "turns without peers", err,
-		"turns: turns.toml: proxies do not talk; name a file of peers as well (--peers FILE), or leave the file of turns out")
+		"turns: turns.toml: duties need gossip; name a gossip file as well (--peers FILE), or omit the duties file")
 }
 
 func TestMovesFileBadInputs(t *testing.T) {
-	const advice = "; give it a figure within, or leave the line out for the usual one"
+	const advice = "; set a value in this range, or omit the line to use the default"
 	movesTOML.expectErrors(t, []badInput{
 		{`slack = 0.37`, `room = 0.37`, "moves: moves.toml: line 1: room: unknown"},
 		{
@@ -281,7 +281,7 @@
 }
 
 func TestMissingFileBadInputs(t *testing.T) {
-	const advice = "; give it a figure within, or leave the line out for the usual one"
+	const advice = "; set a value in this range, or omit the line to use the default"
 	missingTOML.expectErrors(t, []badInput{
 		{`entries = 4321`, `entry = 4321`, "missing: missing.toml: line 1: entry: unknown"},
 		{`entries = 4321`, `entries = 0`, "missing: missing.toml: entries: 0: not from 1 to 4.194304e+06" + advice},
@@ -304,8 +304,8 @@
 	files := missingTOML.files(t, noKeys)
 	files.peers = ""
 	_, err := readConfig(t, files, server.Config{})
-	expectError(t, "missing keys without peers", err, "missing: missing.toml: 7 proxies may write, and they do not talk; "+
-		"name a file of peers as well (--peers FILE), or leave the file of missing keys out")
+	expectError(t, "missing keys without peers", err, "missing: missing.toml: 7 proxies may write, but there is no gossip "+
+		"between them; name a gossip file as well (--peers FILE), or omit the negative cache file")
 }
 
 // TestPeersFileOfConfigBadInputs checks the errors for a gossip file with an unknown key, and for one whose address is used
@@ -316,7 +316,7 @@
 		t.Run(address, func(t *testing.T) {
 			files := configFiles{config: config, peers: replaceIn(t, peers, "127.0.0.3:7001", address)}
 			_, err := readConfig(t, files, server.Config{})
-			expectError(t, address, err, `peers: peers.toml: listen: the address of another listener: "`+address+`"`)
+			expectError(t, address, err, `peers: peers.toml: listen: same address as another listener: "`+address+`"`)
 		})
 	}
 	_, err := readConfig(t, configFiles{config: config, peers: replaceIn(t, peers, "cluster", "fleet")}, server.Config{})
