--- a/internal/emulator/inject.go
+++ b/internal/emulator/inject.go
@@ -326,7 +326,7 @@
 		clients.Go(func() {
 			proxy := i % len(r.load.addresses)
 			if !sendMalformed(r.load.addresses[proxy], i) {
-				r.unansweredBadClients.Add(1)
+				r.unansweredMalformed.Add(1)
 				r.log.Record(Event{Kind: BadClientIgnored, Proxy: proxy, Note: malformedRequests[i%len(malformedRequests)]})
 			}
 		})
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -45,7 +45,7 @@
 func (r *runner) buildReport() *Report {
 	r.reportLogs()
 	events := r.log.All()
-	report := &Report{Plan: r.plan, Results: r.load.results, Events: events, UnansweredMalformed: int(r.unansweredBadClients.Load())}
+	report := &Report{Plan: r.plan, Results: r.load.results, Events: events, UnansweredMalformed: int(r.unansweredMalformed.Load())}
 	checked := checkInvariants(r.plan.Scenario, r.plan.Requests, events)
 	report.Violations, report.SlowStartPeak, report.MaxAbsentStaleness = checked.violations, checked.slowStart.peak, checked.absence.maxStaleness
 	r.measureAbsentKeys(report, events)
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -43,10 +43,10 @@
 	proxyByIP     map[string]string // names of gossiping proxies by IP address
 	relays        []*relay          // by proxy; nil without gossip
 
-	unansweredBadClients atomic.Int64 // malformed requests without an error reply or a closed connection
-	bursts               atomic.Int64 // number of requests sent in bursts; makes their IDs unique
-	backgroundLoad       backgroundSamples
-	faultPages           []*faultbuild.Page // by proxy; nil without Options.FaultPages
+	unansweredMalformed atomic.Int64 // malformed requests without an error reply or a closed connection
+	bursts              atomic.Int64 // number of requests sent in bursts; makes their IDs unique
+	backgroundLoad      backgroundSamples
+	faultPages          []*faultbuild.Page // by proxy; nil without Options.FaultPages
 
 	mu            sync.Mutex
 	nodes         []*Node      // the caches; only announceToOne changes the length
