--- a/cmd/woodproxy/liststandin_test.go
+++ b/cmd/woodproxy/liststandin_test.go
@@ -14,43 +14,44 @@
 	"woodproxy/internal/emulator"
 )
 
-// heartbeatInterval is how often an open watch is sent an empty line.
+// heartbeatInterval is the interval at which an open watch receives an empty line.
 const heartbeatInterval = 500 * time.Millisecond
 
-// listStandIn is a discovery that answers each watch with a whole list, and then sends what it is told to.
-type listStandIn struct {
-	indented bool // objects stand over many lines, and come in pieces
+// fakeDiscovery is a fake discovery server. It sends the complete endpoint list to each new watch, and then the changes
+// that the test publishes.
+type fakeDiscovery struct {
+	indented bool // whether objects are indented over many lines and sent in small writes
 	addr     [2]string
 
 	mu      sync.Mutex
 	version int
 	rows    map[string]emulator.Endpoint
-	order   []string // names, in the order in which they were listed first
-	silent  bool     // watches are sent nothing
-	changed chan struct{}
-	sent    []string // changes, as lines
-	resets  int      // how often all watches were ended
+	order   []string      // names, in the order in which they were first listed
+	silent  bool          // whether watches receive nothing
+	changed chan struct{} // closed at the next change
+	sent    []string      // published changes, one line each unless indented
+	resets  int           // number of times that all watches were reset
 }
 
-func startListStandIn(t *testing.T, servers int) *listStandIn {
+func startFakeDiscovery(t *testing.T, servers int) *fakeDiscovery {
 	t.Helper()
-	d := &listStandIn{rows: map[string]emulator.Endpoint{}, changed: make(chan struct{})}
-	d.publish(fleetRows(servers)...)
+	d := &fakeDiscovery{rows: map[string]emulator.Endpoint{}, changed: make(chan struct{})}
+	d.publish(fleetEndpoints(servers)...)
 	for i := range d.addr {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		server := &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: time.Second}
-		go func() { _ = server.Serve(listener) }() // it returns as the server is closed
-		t.Cleanup(func() { _ = server.Close() })   // the test has passed or failed by then
+		go func() { _ = server.Serve(listener) }() // returns when the server is closed
+		t.Cleanup(func() { _ = server.Close() })   // the test has finished, so that the error doesn't matter
 		d.addr[i] = listener.Addr().String()
 	}
 	return d
 }
 
-// publish changes lines of the list, and sends them to all watches as one change.
-func (d *listStandIn) publish(rows ...emulator.Endpoint) {
+// publish updates entries of the endpoint list and sends them to all watches as one change.
+func (d *fakeDiscovery) publish(rows ...emulator.Endpoint) {
 	d.change(func() {
 		for _, row := range rows {
 			if _, known := d.rows[row.Name]; !known {
@@ -62,7 +63,8 @@
 	})
 }
 
-func (d *listStandIn) change(change func()) {
+// change calls the function with the lock held, and wakes all watches.
+func (d *fakeDiscovery) change(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -71,7 +73,7 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *listStandIn) list() (rows []emulator.Endpoint) {
+func (d *fakeDiscovery) list() (rows []emulator.Endpoint) {
 	for _, name := range d.order {
 		if row := d.rows[name]; row.Status != "left" {
 			rows = append(rows, row)
@@ -80,7 +82,8 @@
 	return rows
 }
 
-func (d *listStandIn) object(whole bool, rows []emulator.Endpoint) string {
+// object encodes entries as a JSON object of the discovery protocol.
+func (d *fakeDiscovery) object(whole bool, rows []emulator.Endpoint) string {
 	lines := make([]string, len(rows))
 	for i, row := range rows {
 		lines[i] = row.String()
@@ -92,15 +95,15 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`+"\n", d.version, whole, strings.Join(lines, ","))
 }
 
-// known returns the whole list as it stands in a configuration.
-func (d *listStandIn) known() string {
+// completeList returns the complete list in the form that a configuration contains.
+func (d *fakeDiscovery) completeList() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return strings.TrimSpace(d.object(true, d.list()))
 }
 
-// serve answers one watch.
-func (d *listStandIn) serve(w http.ResponseWriter, request *http.Request) {
+// serve handles one watch.
+func (d *fakeDiscovery) serve(w http.ResponseWriter, request *http.Request) {
 	d.mu.Lock()
 	next, resets, first := len(d.sent), d.resets, d.object(true, d.list())
 	d.mu.Unlock()
@@ -128,8 +131,8 @@
 	}
 }
 
-// write sends a text, in pieces where objects are indented.
-func (d *listStandIn) write(w http.ResponseWriter, text string) {
+// write sends a text, in small writes if objects are indented.
+func (d *fakeDiscovery) write(w http.ResponseWriter, text string) {
 	piece := len(text)
 	if d.indented {
 		piece = 4001 // bytes
--- a/internal/admin/commands.go
+++ b/internal/admin/commands.go
@@ -78,7 +78,7 @@
 	}
 	epoch, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || epoch < 0 {
-		return 0, fmt.Errorf("epoch: %q: no number of an order", text)
+		return 0, fmt.Errorf("epoch: %q: not a valid epoch", text)
 	}
 	return epoch, nil
 }
@@ -91,6 +91,6 @@
 	case forcePhrase:
 		return true, nil
 	default:
-		return false, fmt.Errorf("force: %q: it takes the words %q", text, forcePhrase)
+		return false, fmt.Errorf("force: %q: not the phrase %q", text, forcePhrase)
 	}
 }
--- a/internal/emulator/drain_check.go
+++ b/internal/emulator/drain_check.go
@@ -7,32 +7,32 @@
 // drainCheck checks DrainRule.
 type drainCheck struct {
 	*findings
-	processes *processHistory
-	since     map[proxyNode]time.Duration // when a proxy was notified of a drain that lasts
-	grace     time.Duration
+	processes     *processHistory
+	drainingSince map[proxyNode]time.Duration // time at which a proxy was notified of a drain that has not ended
+	grace         time.Duration
 }
 
 func (d *drainCheck) observeDelivery(e Event) {
 	node := proxyNode{e.Proxy, e.Node}
 	if e.Note == statusActive {
-		delete(d.since, node)
-	} else if _, draining := d.since[node]; !draining {
-		d.since[node] = e.At
+		delete(d.drainingSince, node)
+	} else if _, draining := d.drainingSince[node]; !draining {
+		d.drainingSince[node] = e.At
 	}
 }
 
 func (d *drainCheck) observeArrival(e Event) {
-	since, draining := d.since[proxyNode{e.Proxy, e.Node}]
+	since, draining := d.drainingSince[proxyNode{e.Proxy, e.Node}]
 	if !draining {
 		return
 	}
 	p := d.processes.pauses[e.Proxy]
-	for i := 0; i+1 < len(p); i += 2 { // what is delivered to a paused process it reads when it continues
+	for i := 0; i+1 < len(p); i += 2 { // a paused process reads a notification only when it continues
 		if since >= p[i]-d.grace && since <= p[i+1] {
 			since = max(since, p[i+1])
 		}
 	}
 	if e.At > since+d.grace+timingSlack {
-		d.violate(DrainRule, e, "node %s took request %s from proxy %d %v after that was told", e.Node, e.RequestID, e.Proxy, e.At-since)
+		d.violate(DrainRule, e, "node %s received request %s from proxy %d %v after the proxy was notified of the drain", e.Node, e.RequestID, e.Proxy, e.At-since)
 	}
 }
--- a/internal/experiment/describe.go
+++ b/internal/experiment/describe.go
@@ -19,10 +19,10 @@
 		"a cache node had %.1f connections, at most %d\n", fleet.HealthChecksPerSecond, fleet.MeanOpenWatches, fleet.WatchesOpenedPerSecond, fleet.MeanConnsPerNode, fleet.MaxConnsPerNode)
 	describeZones(&text, report)
 	describeRestarts(&text, report)
-	if report.AbsentAnswersPerSecond > 0 {
+	if report.AbsentRepliesPerSecond > 0 {
 		fmt.Fprintf(&text, "absent keys: the origin received %.1f lookups a second, clients %.1f replies; "+
 			"a key was reported absent for up to %.0f ms after it was written\n",
-			report.AbsentLookupsPerSecond, report.AbsentAnswersPerSecond, report.MaxAbsentStaleness.Seconds()*1000)
+			report.AbsentLookupsPerSecond, report.AbsentRepliesPerSecond, report.MaxAbsentStaleness.Seconds()*1000)
 	}
 	if report.SlowStartPeak > 0 {
 		fmt.Fprintf(&text, "slow start: the greatest load of a node is %.2f of what overloads it\n", report.SlowStartPeak)
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -182,9 +182,9 @@
 		s.Fleet.Zones, s.Fleet.CrossZoneMS = zones, d.floatBetween(0.5, 3)
 	}
 	s.Origin = emulator.NodeCapacity{Cores: d.intBetween(4, 12), ServiceMS: d.floatBetween(4, 15), Queue: 100}
-	s.Keys = emulator.Keys{Count: d.intBetween(500, 4000), Zipf: 1.1, CachedPart: d.floatBetween(0.5, 0.95), ValueBytes: d.intBetween(0, 2) * 3000}
+	s.Keys = emulator.Keys{Count: d.intBetween(500, 4000), Zipf: 1.1, CachedFraction: d.floatBetween(0.5, 0.95), ValueBytes: d.intBetween(0, 2) * 3000}
 	capacity := float64(s.Fleet.Nodes*s.Fleet.Cores) * 1000 / s.Fleet.ServiceMS
-	s.Load = emulator.Load{Rate: min(d.floatBetween(0.15, 0.6)*capacity, 900), LeavingPart: d.floatBetween(0, 0.1), DrippedPart: d.floatBetween(0, 0.05)}
+	s.Load = emulator.Load{Rate: min(d.floatBetween(0.15, 0.6)*capacity, 900), LeavingFraction: d.floatBetween(0, 0.1), DrippedFraction: d.floatBetween(0, 0.05)}
 	if d.oneIn(2) {
 		at := d.floatBetween(1, s.LengthS/2)
 		s.Load.Steps = []emulator.Step{{AtS: at, Factor: 1.5}, {AtS: at + 1, Factor: 1}}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -110,7 +110,7 @@
 	case err != nil:
 		return nil, err
 	}
-	outcome.Violations, outcome.IdleFaults, outcome.OverloadedFraction = report.Unexcused(), report.IdleFaults(), report.LatePart()
+	outcome.Violations, outcome.IdleFaults, outcome.OverloadedFraction = report.Unexcused(), report.IdleFaults(), report.LateFraction()
 	switch {
 	case len(outcome.Violations) > 0:
 		outcome.Verdict = Violated
