--- a/deploy/balancer_test.go
+++ b/deploy/balancer_test.go
@@ -51,31 +51,31 @@
 	return b
 }
 
-// startedProgram returns the program that a command line starts, after an optional exec.
-func startedProgram(t *testing.T, commandLine string) string {
+// programOf returns the program named in a shell command line, without the shell's exec.
+func programOf(t *testing.T, commandLine string) string {
 	t.Helper()
 	words := strings.Fields(strings.TrimPrefix(commandLine, "exec "))
 	if len(words) == 0 {
-		t.Fatalf("%q starts no program", commandLine)
+		t.Fatalf("command line %q names no program", commandLine)
 	}
 	return words[0]
 }
 
 func TestBalancerStartsThePrograms(t *testing.T) {
 	b := readBalancer(t)
-	if got := startedProgram(t, *b.Run); got != proxyProgram {
-		t.Errorf("run starts %s, want %s", got, proxyProgram)
+	if got := programOf(t, *b.Run); got != proxyProgram {
+		t.Errorf("run: got program %s, want %s", got, proxyProgram)
 	}
-	if got := startedProgram(t, *b.Sim); got != simulatorProgram {
-		t.Errorf("sim starts %s, want %s", got, simulatorProgram)
+	if got := programOf(t, *b.Sim); got != simulatorProgram {
+		t.Errorf("sim: got program %s, want %s", got, simulatorProgram)
 	}
 	if !strings.Contains(*b.Build, "go build") || !strings.Contains(*b.Build, "-o bin/") || !strings.Contains(*b.Build, "./cmd/...") {
-		t.Errorf("build is %q, want a build of cmd/ into bin/", *b.Build)
+		t.Errorf("build: got %q, want a build of cmd/ into bin/", *b.Build)
 	}
 }
 
-// The policy files exist and have at most maxFileLines lines, so that each has a single purpose that its name states, and at
-// most maxLineLength characters in a line.
+// The policy files exist and have at most maxFileLines lines, so that each keeps to the one purpose stated by its name, and
+// at most maxLineLength characters in a line.
 func TestBalancerPolicyFiles(t *testing.T) {
 	b := readBalancer(t)
 	if len(*b.Policy) == 0 {
