--- a/internal/faultbuild/build_test.go
+++ b/internal/faultbuild/build_test.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// Calls fail or are shortened while the page says so and work again afterwards. A step of the wall clock does not affect
-// the monotonic clock.
+// Calls fail or are shortened while the page holds a fault, and work again afterwards. A step of the wall clock does not
+// affect the monotonic clock.
 func TestFaultsOfRunningProcess(t *testing.T) {
 	p := startProgram(t)
 	calls := []string{"dial", "accept", "exchange", "file", "clock"}
--- a/internal/faultbuild/patch.go
+++ b/internal/faultbuild/patch.go
@@ -12,6 +12,7 @@
 	Count int
 }
 
+// Error returns the file, the text and how often the text occurs.
 func (e *PatchError) Error() string {
 	return fmt.Sprintf("faultbuild: %s: %q occurs %d times, want once; the patch is for another version", e.File, e.Text, e.Count)
 }
--- a/internal/goldentest/encoding.go
+++ b/internal/goldentest/encoding.go
@@ -128,7 +128,7 @@
 }
 
 const (
-	fixmap          = 0x80 // first byte of a msgpack map of up to fixmapMaxFields fields, without the number of fields in its low bits
+	fixmap          = 0x80 // first byte of a small msgpack map; its low bits hold the number of fields
 	fixmapMaxFields = 15
 )
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -16,8 +16,8 @@
 
 const moduleRoot = "../.."
 
-// The same seed draws the same scenario and another seed draws another. Each scenario is valid, and the file that is
-// written of it is read back unchanged.
+// The same seed draws the same scenario and another seed draws another. Each scenario is valid, and is read back
+// unchanged from the file that it is written to.
 func TestDrawIsReproducible(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(300) {
@@ -68,7 +68,7 @@
 	return strings.NewReplacer("from = []\n", "", "to = []\n", "", "steps = []\n", "", "zones = []\n", "").Replace(string(text))
 }
 
-// Two to three faults overlap on average while faults are injected.
+// While faults are injected, 2 to 4.5 of them overlap on average.
 func TestFaultsOverlap(t *testing.T) {
 	overlapping, moments := 0, 0
 	for seed := range uint64(100) {
