--- a/internal/emulator/absent_keys.go
+++ b/internal/emulator/absent_keys.go
@@ -14,7 +14,7 @@
 	return 3*heartbeat + 500*time.Millisecond + 2*time.Second + time.Second
 }
 
-// measureAbsentKeys sets the rates of look-ups of absent keys at the origin and of replies that report an absent key.
+// measureAbsentKeys sets the rates of lookups of absent keys at the origin and of replies that report an absent key.
 func (r *runner) measureAbsentKeys(report *Report, events []Event) {
 	for _, e := range events {
 		switch {
--- a/internal/emulator/backends.go
+++ b/internal/emulator/backends.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// startBackends starts the origin, the caches and one discovery agent per proxy. Each agent serves the complete endpoint list.
+// startBackends starts the origin, the caches and one discovery agent per proxy. Each agent serves the complete endpoint
+// list.
 func (r *runner) startBackends() error {
 	d := r.plan.Scenario
 	var err error
@@ -50,8 +51,8 @@
 	return nil
 }
 
-// startNode starts a cache or the origin. A nonzero startedAt is the time at which a cache starts during the scenario: the cache
-// begins empty and in slow start. With the zero time it begins warm.
+// startNode starts a cache or the origin. A nonzero startedAt is the time at which a cache starts during the scenario: the
+// cache begins empty and in slow start. With the zero time it begins warm.
 func (r *runner) startNode(name string, origin bool, startedAt time.Time) (*Node, error) {
 	d := r.plan.Scenario
 	n, err := NewNode(r.nextNodeIP(), name, origin, d.Proxies, r.log)
@@ -69,8 +70,8 @@
 	return n, nil
 }
 
-// nodesPerIP is the number of nodes that share one loopback address. It is limited because each node takes one port per proxy,
-// and connections of the machine take their local ports from the same address.
+// nodesPerIP is the number of nodes that share one loopback address. It is limited because each node takes one port per
+// proxy, and connections of the machine take their local ports from the same address.
 const nodesPerIP = 32
 
 // nextNodeIP returns the loopback address of the next node.
@@ -88,8 +89,8 @@
 	return r.startNode(name, false, time.Now())
 }
 
-// recordNodeStart sets the start time of a cache. If the time is nonzero, it also empties the cache and records that slow start
-// has begun.
+// recordNodeStart sets the start time of a cache. If the time is nonzero, it also empties the cache and records that slow
+// start has begun.
 func (r *runner) recordNodeStart(n *Node, at time.Time) {
 	n.work.start(at)
 	if at.IsZero() {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -47,7 +47,8 @@
 // keepaliveInterval is the interval at which an idle watch is sent an empty line.
 const keepaliveInterval = 500 * time.Millisecond
 
-// Discovery is a stand-in for the service discovery agent on the machine of one proxy. Its methods may be called concurrently.
+// Discovery is a stand-in for the service discovery agent on the machine of one proxy. Its methods may be called
+// concurrently.
 type Discovery struct {
 	Proxy         int
 	WatchesOpened atomic.Int64 // number of watches opened so far
@@ -157,8 +158,8 @@
 }
 
 // recordKnownAtStart records the endpoints that are not active when a proxy process starts. Their status counts as delivered
-// from the start of the process, whether or not a watch is open. If the agent does not serve watches at that time, the status
-// counts as delivered after deliveryDeadline instead.
+// from the start of the process, whether or not a watch is open. If the agent does not serve watches at that time, the
+// status counts as delivered after deliveryDeadline instead.
 func (d *Discovery) recordKnownAtStart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -242,7 +243,8 @@
 	}
 }
 
-// step serves the watch in the current mode, waits for the next change or keep-alive, and reports whether the watch continues.
+// step serves the watch in the current mode, waits for the next change or keep-alive, and reports whether the watch
+// continues.
 func (w *watch) step() bool {
 	mode, changed, versions := w.state()
 	switch mode {
@@ -289,8 +291,8 @@
 	return mode, d.changed, d.versions[min(w.next, len(d.versions)):]
 }
 
-// send writes versions and a keep-alive line. Write errors are ignored, since a failed write cancels the context of the request:
-// the versions count as delivered only if the context is still active afterwards.
+// send writes versions and a keep-alive line. Write errors are ignored, since a failed write cancels the context of the
+// request: the versions count as delivered only if the context is still active afterwards.
 func (w *watch) send(versions [][]Endpoint) {
 	for _, rows := range versions {
 		w.next++
--- a/internal/emulator/eventlog.go
+++ b/internal/emulator/eventlog.go
@@ -12,7 +12,7 @@
 // Kinds of events.
 const (
 	RequestSent      EventKind = "request sent"       // a client has written a complete request
-	ReplyReceived    EventKind = "reply received"     // a client has received a final reply: Note is the outcome, MadeFor from the value
+	ReplyReceived    EventKind = "reply received"     // a client received a final reply: Note is the outcome, MadeFor is set
 	ConnectionClosed EventKind = "connection closed"  // a connection was closed during a request
 	ClientLeft       EventKind = "client left"        // a client left before it received a reply
 	AttemptReceived  EventKind = "attempt received"   // a node has received a complete attempt
@@ -21,13 +21,13 @@
 	StatusDelivered  EventKind = "status delivered"   // discovery delivered an endpoint's status, Note, to a proxy
 	SlowStartBegan   EventKind = "slow start began"   // a node begins its slow start: Figure is its full capacity per second
 	ProcessEnded     EventKind = "process ended"      // a proxy process ended: Note is the cause
-	QuotaReported    EventKind = "quota reported"     // a proxy reports its fraction of the fleet's limits, Figure, and its rows of nodes, Note
-	ProcessPaused    EventKind = "process paused"     // a proxy process was stopped or continued by a signal: Note is pauseBegins or pauseEnds
+	QuotaReported    EventKind = "quota reported"     // a proxy reports its quota, Figure, and its rows of nodes, Note
+	ProcessPaused    EventKind = "process paused"     // a proxy got SIGSTOP or SIGCONT: Note is pauseBegins or pauseEnds
 	ProcessNotReady  EventKind = "process not ready"  // a proxy process was not ready in time
 	CounterReported  EventKind = "counter reported"   // a proxy reports the value Figure of its metric Note
 	LogReported      EventKind = "log reported"       // a proxy has logged Figure lines that begin with Note
-	BadClientIgnored EventKind = "bad client ignored" // a proxy neither sent an error to a bad client nor closed its connection in time
-	LimitExceeded    EventKind = "limit exceeded"     // a proxy process used Figure of the resource Note, more than its limit, and was killed
+	BadClientIgnored EventKind = "bad client ignored" // a bad client received neither an error nor a close in time
+	LimitExceeded    EventKind = "limit exceeded"     // a proxy process was killed for using Figure of the resource Note
 	ProcessHung      EventKind = "process hung"       // a proxy process did not reply to pings for Figure seconds
 	CommandInvented  EventKind = "command invented"   // a node has received a command, Note, that no client has sent
 	CrowdChanged     EventKind = "crowd changed"      // silent clients connected or left: Note is crowdBegins or crowdEnds
@@ -59,13 +59,15 @@
 
 // Event is a recorded event.
 type Event struct {
-	At                         time.Duration // since the start of the event log
-	Kind                       EventKind
-	RequestID                  string
-	Proxy                      int // index of the proxy, -1: none
-	Node                       string
-	Note                       string
-	MadeFor                    string // of a reply: ID of the request for which its value was made; of a quota report: whether the proxy is catching up
+	At        time.Duration // since the start of the event log
+	Kind      EventKind
+	RequestID string
+	Proxy     int // index of the proxy, -1: none
+	Node      string
+	Note      string
+	// MadeFor is the ID of the request for which the value of a reply was made. In a QuotaReported event it is "true" while the
+	// proxy is catching up and "false" otherwise.
+	MadeFor                    string
 	Figure                     float64
 	GossipBytes, GossipPackets int64 // gossip traffic since the proxy process started
 }
--- a/internal/emulator/fake_proxy_test.go
+++ b/internal/emulator/fake_proxy_test.go
@@ -28,7 +28,8 @@
 	requests atomic.Int64
 }
 
-// startFakeProxy returns a function that starts a fake proxy. The proxy counts accepted connections in conns unless it is nil.
+// startFakeProxy returns a function that starts a fake proxy. The proxy counts accepted connections in conns unless it is
+// nil.
 func startFakeProxy(reply func(id string, number int) fakeReply, conns *atomic.Int64) emulator.StartFunc {
 	return func(config emulator.ProxyConfig) (emulator.Proxy, error) {
 		listener, err := net.Listen("tcp", config.Listen)
--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("127.%d.%d.", 100+networkNumbers.n%100, os.Getpid()%250)
 }
 
-// setUpGossip reserves the gossip and admin addresses of a proxy and starts the relay through which its peers reach it. Proxy
-// and relay each have an IP address of their own.
+// setUpGossip reserves the gossip and admin addresses of a proxy and starts the relay through which its peers reach it.
+// Proxy and relay each have an IP address of their own.
 func (r *runner) setUpGossip(i int, m *managedProxy) error {
 	proxyIP, relayIP := fmt.Sprint(r.addressPrefix, i+1), fmt.Sprint(r.addressPrefix, i+101)
 	listen, err := r.reservePort(proxyIP)
@@ -101,8 +101,8 @@
 	polls.Wait()
 }
 
-// recordGossipStatus polls one proxy and records its quota and rows. Nothing is recorded if the proxy does not reply or has
-// become unavailable meanwhile.
+// recordGossipStatus polls one proxy and records its quota and rows. Nothing is recorded if the proxy does not respond or
+// has become unavailable meanwhile.
 func (r *runner) recordGossipStatus(client *http.Client, i int) {
 	response, err := client.Get("http://" + r.proxies[i].config.AdminAddress + "/control/peers")
 	if err != nil {
@@ -116,8 +116,8 @@
 	}
 }
 
-// parseGossipStatus parses a reply to /control/peers into a QuotaReported event, whose MadeFor is "true" while the proxy is
-// catching up and "false" otherwise. It reports whether the reply contains a valid quota.
+// parseGossipStatus parses a response of /control/peers into a QuotaReported event, whose MadeFor is "true" while the proxy
+// is catching up and "false" otherwise. It reports whether the response contains a valid quota.
 func parseGossipStatus(text string) (event Event, ok bool) {
 	event.Kind = QuotaReported
 	for line := range strings.SplitSeq(text, "\n") {
@@ -181,8 +181,8 @@
 	}
 }
 
-// announcementTarget returns the proxy for the k-th announcement: if possible, one that is available and whose discovery agent
-// serves watches.
+// announcementTarget returns the proxy for the k-th announcement: if possible, one that is available and whose discovery
+// agent serves watches.
 func (r *runner) announcementTarget(k int) int {
 	proxy := (k*7 + 3) % len(r.discoveries)
 	for step := range r.discoveries {
--- a/internal/emulator/gossip_report.go
+++ b/internal/emulator/gossip_report.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// measureGossip adds to the report the propagation times of announced nodes and the catch-up times, both from the logs of the
-// proxies, and the gossip traffic.
+// measureGossip adds to the report the propagation times of announced nodes and the catch-up times, both from the logs of
+// the proxies, and the gossip traffic.
 func (r *runner) measureGossip(report *Report) {
 	if !r.plan.Scenario.Gossip.On {
 		return
@@ -21,8 +21,8 @@
 	measureGossipTraffic(report)
 }
 
-// readGossipLogs adds the catch-up times of proxies to the report. It returns, by node and proxy, the time in Unix seconds at
-// which the proxy first listed the node.
+// readGossipLogs adds the catch-up times of proxies to the report. It returns, by node and proxy, the time in Unix seconds
+// at which the proxy first listed the node.
 func (r *runner) readGossipLogs(report *Report) map[string]map[int]float64 {
 	receivedAt, begun := map[string]map[int]float64{}, map[int]float64{}
 	r.eachLogLine(func(proxy int, line logLine) {
@@ -44,8 +44,8 @@
 	return receivedAt
 }
 
-// measureAnnouncement adds to the report the times that the other proxies took to receive an announced node. receivedAt holds,
-// by proxy, the time in Unix seconds at which the node was received.
+// measureAnnouncement adds to the report the times that the other proxies took to receive an announced node. receivedAt
+// holds, by proxy, the time in Unix seconds at which the node was received.
 func (r *runner) measureAnnouncement(report *Report, a announcement, receivedAt map[int]float64) {
 	for i := range r.proxies {
 		at, ok := receivedAt[i]
@@ -68,7 +68,7 @@
 		if e.Kind != QuotaReported {
 			continue
 		}
-		if before, ok := latest[e.Proxy]; ok && e.GossipBytes >= before.GossipBytes { // smaller in a new process, which counts from 0
+		if before, ok := latest[e.Proxy]; ok && e.GossipBytes >= before.GossipBytes { // a new process counts from 0
 			bytes += float64(e.GossipBytes - before.GossipBytes)
 			packets += float64(e.GossipPackets - before.GossipPackets)
 			elapsed += (e.At - before.At).Seconds()
@@ -80,7 +80,8 @@
 	}
 }
 
-// wasPaused reports whether a pause of a proxy overlaps the span between from and to, where to is a log time in Unix seconds.
+// wasPaused reports whether a pause of a proxy overlaps the span between from and to, where to is a log time in Unix
+// seconds.
 func (r *runner) wasPaused(events []Event, proxy int, from time.Time, to float64) bool {
 	begin, pausedAt := from.Sub(r.log.start), time.Duration(-1)
 	end := seconds(to - float64(r.log.start.UnixMicro())/1e6)
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -12,42 +12,45 @@
 
 // Rules that are checked in every scenario.
 const (
-	// FinalReplyRule: each accepted request receives one reply before its overall timeout, and nothing after it.
+	// FinalReplyRule requires that each accepted request receives one reply before its overall timeout, and nothing after it.
 	FinalReplyRule Rule = "one final reply"
-	// OwnValueRule: the value in a reply was made for the request of the reply.
+	// OwnValueRule requires that the value in a reply was made for the request of the reply.
 	OwnValueRule Rule = "value of its own request"
-	// SingleEffectRule: a write is executed once.
+	// SingleEffectRule requires that a write is executed once.
 	SingleEffectRule Rule = "no duplicate effect"
-	// DrainRule: a draining node receives nothing once drainGrace has passed since its proxy was notified.
+	// DrainRule requires that a draining node receives nothing once drainGrace has passed since its proxy was notified.
 	DrainRule Rule = "drains observed"
-	// SlowStartRule: a node in slow start is not overloaded.
+	// SlowStartRule requires that a node in slow start is not overloaded.
 	SlowStartRule Rule = "no overload in slow start"
-	// CrashRule: no proxy process ends by itself.
+	// CrashRule requires that no proxy process ends by itself.
 	CrashRule Rule = "no crash"
-	// FreshAbsenceRule: no key that exists is reported absent for longer than maxAbsentStaleness after it was written.
+	// FreshAbsenceRule requires that no key that exists is reported absent for longer than maxAbsentStaleness after it was
+	// written.
 	FreshAbsenceRule Rule = "no outdated absence"
-	// LateAttemptRule: no attempt begins more than lateAttemptGrace after the client of its request left or received the reply.
+	// LateAttemptRule requires that no attempt begins more than lateAttemptGrace after the client of its request left or
+	// received the reply.
 	LateAttemptRule Rule = "no attempt after the end"
-	// SentDeadlineRule: no attempt is sent with a deadline more than sentDeadlineSlack beyond that of the client.
+	// SentDeadlineRule requires that no attempt is sent with a deadline more than sentDeadlineSlack beyond that of the client.
 	SentDeadlineRule Rule = "sent deadlines hold"
-	// ReadyRule: a proxy process serves within readyTimeout after its start.
+	// ReadyRule requires that a proxy process serves within readyTimeout after its start.
 	ReadyRule Rule = "ready in time"
-	// MemoryRule: no proxy process uses more memory than its limit.
+	// MemoryRule requires that no proxy process uses more memory than its limit.
 	MemoryRule Rule = "memory limit"
-	// DescriptorRule: no proxy process has more descriptors open than its limit.
+	// DescriptorRule requires that no proxy process has more descriptors open than its limit.
 	DescriptorRule Rule = "descriptor limit"
-	// HungRule: no proxy process leaves pings without a reply for longer than hungTimeout, except while it is paused.
+	// HungRule requires that no proxy process leaves pings without a reply for longer than hungTimeout, except while it is
+	// paused.
 	HungRule Rule = "no hang"
-	// InventedRule: neither a cache nor the origin receives a command that no client has sent.
+	// InventedRule requires that neither a cache nor the origin receives a command that no client has sent.
 	InventedRule Rule = "no invented command"
-	// BadClientRule: a client that sends an invalid or incomplete command receives an error or the end of its connection in
-	// time.
+	// BadClientRule requires that a client that sends an invalid or incomplete command receives an error or the end of its
+	// connection in time.
 	BadClientRule Rule = "bad clients rejected"
-	// InvariantRule: no proxy logs a violation of one of its own invariants, or a panic.
+	// InvariantRule requires that no proxy logs a violation of one of its own invariants, or a panic.
 	InvariantRule Rule = "proxies' own invariants"
-	// ResidueRule: a proxy whose clients have all left holds no requests, bytes or streams of theirs.
+	// ResidueRule requires that a proxy whose clients have all left holds no requests, bytes or streams of theirs.
 	ResidueRule Rule = "no residue"
-	// QuotaRule: the quotas that running proxies report add up to at most the fleet's limits.
+	// QuotaRule requires that the quotas that running proxies report add up to at most the fleet's limits.
 	QuotaRule Rule = "quotas within limits"
 )
 
@@ -57,7 +60,7 @@
 	drainGrace       = 300 * time.Millisecond
 	drainGraceBroken = 2 * time.Second // if connections break: a written request may be lost and is then sent again
 	overloadWindow   = time.Second     // over which the load of a node is measured
-	overloadMultiple = 3.0             // a node in slow start bears N, this multiple of its capacity, and 2 sqrt(N) + 2 at random
+	overloadMultiple = 3.0             // of the capacity of a node in slow start, beyond which it is overloaded
 	deliveryDeadline = 6 * time.Second // after which a change in discovery counts as delivered
 	killWindow       = time.Second     // between the kill of a proxy and the end of a client's connection
 	maxQuotaSum      = 1.001           // of all proxies, including rounding errors
--- a/internal/emulator/invariants_test.go
+++ b/internal/emulator/invariants_test.go
@@ -116,25 +116,25 @@
 }
 
 // attemptWithTimeout returns the arrival of an attempt with a timeout in milliseconds.
-func attemptWithTimeout(atMS int, waitMS float64) emulator.Event {
+func attemptWithTimeout(atMS int, timeoutMS float64) emulator.Event {
 	e := attemptReceived(atMS, "c1")
-	e.Figure = waitMS
+	e.Figure = timeoutMS
 	return e
 }
 
-// attemptReceived returns the arrival of an attemptReceived of the read.
+// attemptReceived returns the arrival of an attempt of the read.
 func attemptReceived(atMS int, node string) emulator.Event {
 	return event(atMS, emulator.AttemptReceived, "a", node, "")
 }
 
-// reportedByProxy returns an event with a figure that a proxy reports at the end of a run.
+// reportedByProxy returns an event whose figure a proxy reports at the end of a run.
 func reportedByProxy(kind emulator.EventKind, note string, figure float64) emulator.Event {
 	e := event(2000, kind, "", "", note)
 	e.Figure = figure
 	return e
 }
 
-// clientLeft returns that the read's client leaves at 100 ms.
+// clientLeft returns the departure of the read's client at 100 ms.
 func clientLeft() emulator.Event { return event(100, emulator.ClientLeft, "a", "", "") }
 
 var attemptCases = []ruleCase{
--- a/internal/emulator/lateness.go
+++ b/internal/emulator/lateness.go
@@ -39,7 +39,8 @@
 	return slices.ContainsFunc(r.LateSendTimes, func(at time.Duration) bool { return at >= from && at <= to })
 }
 
-// LateFraction returns the fraction of the scenario's length that lies within lateSendMargin of late sends and proves nothing.
+// LateFraction returns the fraction of the scenario's length that lies within lateSendMargin of late sends, where
+// the results prove nothing.
 func (r *Report) LateFraction() float64 {
 	late, until := time.Duration(0), time.Duration(0)
 	for _, at := range r.LateSendTimes { // ascending
--- a/internal/emulator/lateness_test.go
+++ b/internal/emulator/lateness_test.go
@@ -41,12 +41,12 @@
 		Plan:          &emulator.Plan{Scenario: &emulator.Scenario{LengthS: 10}},
 		LateSendTimes: []time.Duration{time.Second, 1100 * time.Millisecond, 5 * time.Second},
 	}
-	if part := report.LateFraction(); part < 0.129 || part > 0.131 {
-		t.Errorf("got late part %.4f, want 0.13", part)
+	if got := report.LateFraction(); got < 0.129 || got > 0.131 {
+		t.Errorf("got late fraction %.4f, want 0.13", got)
 	}
 }
 
-// Guards against faults that have no effect unnoticed: hot restarts were drawn in 99 runs and took place in none of them.
+// Guards against faults that silently have no effect: hot restarts were drawn in 99 runs and took place in none of them.
 // IdleFaults must return a kind of fault that left no event.
 func TestFaultsThatDoNothingAreNamed(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/emulator/limit_watch.go
+++ b/internal/emulator/limit_watch.go
@@ -13,7 +13,7 @@
 const (
 	limitInterval = 50 * time.Millisecond // between two checks of the resources of a process
 	pingInterval  = 500 * time.Millisecond
-	hungTimeout   = 5 * time.Second // without a reply, after which a proxy counts as hung
+	hungTimeout   = 5 * time.Second // time without a reply after which a proxy counts as hung
 )
 
 // Notes of LimitExceeded events.
@@ -91,7 +91,7 @@
 // replied for hungTimeout as hung. HungRule later excuses processes that were paused within that time.
 func (r *runner) watchForHang(i int, process *incarnation) {
 	m := r.proxies[i]
-	answeredAt := time.Now()
+	repliedAt := time.Now()
 	for {
 		select {
 		case <-process.exited:
@@ -106,8 +106,8 @@
 		}
 		// A resource shortage of the emulator, or of a proxy with a crowd, does not prove a hang.
 		if err := ping(m.config.Listen); err == nil || systemerror.IsTransient(err) || m.crowds.Load() > 0 {
-			answeredAt = time.Now()
-		} else if silent := time.Since(answeredAt); silent > hungTimeout {
+			repliedAt = time.Now()
+		} else if silent := time.Since(repliedAt); silent > hungTimeout {
 			r.log.Record(Event{Kind: ProcessHung, Proxy: i, Figure: silent.Seconds()})
 			return
 		}
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// network simulates the links between processes, which are identified by their names. A severed link is silent, like the link to
-// a lost machine: open streams stay open, and continue or are reset when the fault ends. Its methods may be called concurrently,
-// and on a nil network where their comment says so.
+// network simulates the links between processes, which are identified by their names. A severed link is silent, like the
+// link to a lost machine: open streams stay open, and continue or are reset when the fault ends. Its methods may be called
+// concurrently, and on a nil network where their comment says so.
 type network struct {
 	gates gateSet // its lock is acquired before mu
 
@@ -27,7 +27,7 @@
 	affects       func(from, to string) bool // reports whether a direction is affected; "" matches any name
 	lossRate      float64                    // probability that a datagram is lost; at 1, streams are silent as well
 	duplicateRate float64                    // probability that a datagram is duplicated
-	maxDelay      time.Duration              // upper bound of random datagram delays, which reorder them; streams wait half of it
+	maxDelay      time.Duration              // upper bound of random delays, which reorder datagrams; streams wait half of it
 	resetStreams  bool                       // streams with waiting bytes are reset when the fault ends
 }
 
--- a/internal/emulator/null_proxy.go
+++ b/internal/emulator/null_proxy.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return err
 	}
-	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // an error changes nothing: no more connections are accepted
+	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // it accepts no more even if this fails
 	for {
 		c, err := listener.Accept()
 		if err != nil {
--- a/internal/emulator/operators_test.go
+++ b/internal/emulator/operators_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A process that replaces a gossiping process takes over its gossip address once the old process has ended, and continues as the
-// same member: no peer records a departure, and the proxy regains its quota.
+// A process that replaces a gossiping process takes over its gossip address once the old process has ended, and continues as
+// the same member: no peer records a departure, and the proxy regains its quota.
 func TestReplacedProcessStaysMember(t *testing.T) {
 	t.Parallel()
 	g := newProcessGroup(t, 60, cacheRow("c1", ""))
@@ -66,8 +66,8 @@
 		"ordered out by way of a, order 1", "ordered in by way of b, order 2")
 }
 
-// The admin server reports the state of duties and the negative cache, serves metrics and plans shard migrations. If no plan is
-// possible, the response contains the type of the error and its fields.
+// The admin server reports the state of duties and the negative cache, serves metrics and plans shard migrations. If no plan
+// is possible, the response contains the type of the error and its fields.
 func TestManaged(t *testing.T) {
 	t.Parallel()
 	g := newProcessGroup(t, 62, cacheRow("c1", ""))
@@ -107,8 +107,8 @@
 	}
 }
 
-// At start, a proxy loads an intact state file and moves a damaged one aside. The admin server reports which of these happened
-// and the stage of recovery.
+// At start, a proxy loads an intact state file and moves a damaged one aside. The admin server reports which of these
+// happened and the stage of recovery.
 func TestStateFileIsCheckedAtStart(t *testing.T) {
 	t.Parallel()
 	g := newProcessGroup(t, 63, cacheRow("c1", ""))
--- a/internal/emulator/process_history.go
+++ b/internal/emulator/process_history.go
@@ -8,9 +8,9 @@
 // processHistory records when proxy processes were killed, paused and crowded. Times count from the start of the event log.
 type processHistory struct {
 	excused map[int]float64         // by proxy, the number of violations in its log that a pause explains
-	crowds  map[int][]time.Duration // by proxy, begins and ends alternately
+	crowds  map[int][]time.Duration // by proxy, alternating starts and ends
 	kills   map[int][]time.Duration // by proxy; graceful ends are left out, since a draining process must still reply
-	pauses  map[int][]time.Duration // by proxy, begins and ends alternately
+	pauses  map[int][]time.Duration // by proxy, alternating starts and ends
 }
 
 // newProcessHistory collects the history from all events. This happens before events are checked, because the end of a
@@ -33,8 +33,8 @@
 	return h
 }
 
-// observeCrowd records the times at which the first crowd arrives at a proxy and the last one leaves. It updates the number of
-// present crowds.
+// observeCrowd records the times at which the first crowd arrives at a proxy and the last one leaves. It updates the number
+// of present crowds.
 func (h *processHistory) observeCrowd(e Event, crowds map[int]int) {
 	change, others := 1, crowds[e.Proxy]
 	if e.Note == crowdEnds {
@@ -57,8 +57,8 @@
 	return overlapsSpans(h.crowds[proxy], from, to)
 }
 
-// overlapsSpans reports whether any of the spans, given by alternating begins and ends, overlaps the span between from and to.
-// The last span may lack an end.
+// overlapsSpans reports whether any of the spans, given by alternating starts and ends, overlaps the span between from and
+// to. The last span may lack an end.
 func overlapsSpans(spans []time.Duration, from, to time.Duration) bool {
 	for i := 0; i < len(spans); i += 2 {
 		if spans[i] <= to && (i+1 == len(spans) || spans[i+1] >= from) {
--- a/internal/emulator/proxies.go
+++ b/internal/emulator/proxies.go
@@ -20,8 +20,8 @@
 	gossipSettleTimePerProxy = 50 * time.Millisecond
 )
 
-// ProxyConfig holds the addresses of a proxy and the paths of its configuration files. The feature that belongs to an empty path
-// or address is disabled.
+// ProxyConfig holds the addresses of a proxy and the paths of its configuration files. The feature that belongs to an empty
+// path or address is disabled.
 type ProxyConfig struct {
 	Name, Listen, Discovery string
 
@@ -60,8 +60,8 @@
 	peakDescriptors int
 }
 
-// startProxies configures and starts all proxies. If they gossip, it also waits for the time in which they find each other and
-// reach their complete quotas.
+// startProxies configures and starts all proxies. If they gossip, it also waits for the time in which they find each other
+// and reach their complete quotas.
 func (r *runner) startProxies(ctx context.Context) error {
 	d := r.plan.Scenario
 	r.load = newLoadGenerator(r.plan, r.log, r.cluster)
@@ -109,9 +109,9 @@
 	return r.writeGossipConfigs()
 }
 
-// reservePort returns an address with a free port that this run has not returned before. A port that becomes free again could
-// otherwise be assigned twice, and of two processes with the same port either one fails to start or each receives part of the
-// other's clients.
+// reservePort returns an address with a free port that this run has not returned before. A port that becomes free again
+// could otherwise be assigned twice, and of two processes with the same port either one fails to start or each receives part
+// of the other's clients.
 func (r *runner) reservePort(ip string) (string, error) {
 	for {
 		address, err := freePort(ip)
--- a/internal/emulator/proxy_faults.go
+++ b/internal/emulator/proxy_faults.go
@@ -31,8 +31,8 @@
 	return m.current
 }
 
-// killProxies kills proxies simultaneously. After the downtime it calls beforeRestart and restarts the proxies at even intervals
-// over the spread.
+// killProxies kills proxies simultaneously. After the downtime it calls beforeRestart and restarts the proxies at even
+// intervals over the spread.
 func (r *runner) killProxies(ctx context.Context, proxies []int, downtime, spread time.Duration, beforeRestart func()) {
 	var kills sync.WaitGroup
 	for _, i := range proxies {
@@ -55,8 +55,8 @@
 }
 
 // loseZone kills the proxies of a zone and makes its caches unavailable, and restores both after the duration. With
-// event.Refuses, the caches are stopped and refuse connections. Otherwise their links are severed, because lost machines do not
-// respond at all.
+// event.Refuses, the caches are stopped and refuse connections. Otherwise their links are severed, because lost machines do
+// not respond at all.
 func (r *runner) loseZone(ctx context.Context, event FaultEvent, duration time.Duration) {
 	nodes, affected := r.nodesInZone(event.Zone), r.affectedNames(event)
 	heal := func() {}
--- a/internal/emulator/proxy_log.go
+++ b/internal/emulator/proxy_log.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Log messages of proxies that the emulator searches for. They must match the texts of the proxy's log calls. messageStarted and
-// messageNewRow are complete messages, the others are prefixes.
+// Log messages of proxies that the emulator searches for. They must match the texts of the proxy's log calls. messageStarted
+// and messageNewRow are complete messages, the others are prefixes.
 const (
 	messageStarted  = "started"
 	messageStalled  = "peers: process was suspended"
@@ -23,7 +23,7 @@
 const (
 	verdictStandalone = "evacuated standalone"            // prefix
 	verdictOut        = "out ("                           // prefix
-	verdictFromIn     = " from in,"                       // contained in a verdict with verdictOut if the zone was in service before
+	verdictFromIn     = " from in,"                       // contained in a verdictOut text if the zone was in service before
 	verdictLeaving    = "leaving ("                       // prefix
 	verdictServed     = "%f of its keys are served there" // format of a fraction from 0 to 1
 )
--- a/internal/emulator/proxy_process.go
+++ b/internal/emulator/proxy_process.go
@@ -24,8 +24,8 @@
 	drainSlack      = 700 * time.Millisecond
 )
 
-// incarnation is one process of a proxy. The reason for its end is stored per process: stored per proxy, it would be overwritten
-// by the next process, and a process that was ended on purpose could be reported as crashed.
+// incarnation is one process of a proxy. The reason for its end is stored per process: stored per proxy, it would be
+// overwritten by the next process, and a process that was ended on purpose could be reported as crashed.
 type incarnation struct {
 	Proxy
 	endNote string        // reason for the end, "" for a crash; guarded by managedProxy.mu
@@ -33,8 +33,8 @@
 	ended   chan struct{} // closed once the end has been processed and another process may be started
 }
 
-// startProxy starts a proxy and waits until it serves. It does nothing if a process of the proxy is already running: two faults
-// may kill and restart the same proxy, and with two processes the first would never be ended.
+// startProxy starts a proxy and waits until it serves. It does nothing if a process of the proxy is already running: two
+// faults may kill and restart the same proxy, and with two processes the first would never be ended.
 func (r *runner) startProxy(ctx context.Context, i int) error {
 	m := r.proxies[i]
 	m.mu.Lock()
@@ -96,8 +96,8 @@
 	r.log.Record(Event{Kind: ProcessEnded, Proxy: i, Note: note})
 }
 
-// awaitReady waits until a process replies to a ping and then marks the proxy as available to clients. It returns a StartError
-// if the process ends or does not reply within readyTimeout.
+// awaitReady waits until a process replies to a ping and then marks the proxy as available to clients. It returns a
+// StartError if the process ends or does not reply within readyTimeout.
 func (r *runner) awaitReady(ctx context.Context, i int, process *incarnation) error {
 	config := r.proxies[i].config
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
@@ -155,9 +155,9 @@
 
 var errNoPong = errors.New("reply to PING is not PONG")
 
-// endProxy ends the process of a proxy with a signal, or kills it if the signal is nil, and waits until it has ended. A process
-// that does not end within killDelay after the signal is killed. The note is stored as the reason for the end, unless the
-// process has one already and the signal is not nil.
+// endProxy ends the process of a proxy with a signal, or kills it if the signal is nil, and waits until it has ended. A
+// process that does not end within killDelay after the signal is killed. The note is stored as the reason for the end,
+// unless the process has one already and the signal is not nil.
 func (r *runner) endProxy(i int, signal os.Signal, note string) {
 	m := r.proxies[i]
 	m.mu.Lock()
@@ -196,7 +196,8 @@
 	return min(millis(longest), maxDrainTimeout) + drainSlack
 }
 
-// newConnsAfterSignal is the time for which clients still open new connections to a proxy after it received the signal to end.
+// newConnsAfterSignal is the time for which clients still open new connections to a proxy after it received the signal to
+// end.
 const newConnsAfterSignal = 300 * time.Millisecond
 
 // stopNewConns marks a proxy as unavailable to clients, unless another process has replaced the given one.
@@ -209,8 +210,8 @@
 	}
 }
 
-// StartProgram returns a StartFunc that runs a program with arguments as a process and appends its output to the file "log" in
-// the directory of the proxy.
+// StartProgram returns a StartFunc that runs a program with arguments as a process and appends its output to the file "log"
+// in the directory of the proxy.
 func StartProgram(words ...string) StartFunc {
 	return func(s ProxyConfig) (Proxy, error) {
 		log, err := os.OpenFile(filepath.Join(s.Dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
--- a/internal/emulator/quota_check.go
+++ b/internal/emulator/quota_check.go
@@ -14,9 +14,9 @@
 	exceeded bool            // the sum was exceeded; only the first violation is reported
 }
 
-// observeReport adds up the least quota that each proxy reported within quotaWindow. Latest quotas would not do: proxies are
-// polled one after another, so a quota that has already grown would be added to one that has shrunk since its proxy was
-// polled.
+// observeReport adds up the least quota that each proxy reported within quotaWindow. The sum of the latest quotas could
+// exceed the limits without a fault: proxies are polled one after another, so a quota that has already grown would be added
+// to one that has shrunk since its proxy was polled.
 func (q *quotaCheck) observeReport(e Event) {
 	recent := append(q.reports[e.Proxy], e) //nolint:gocritic // stored below
 	for recent[0].At < e.At-quotaWindow {
--- a/internal/emulator/recovery.go
+++ b/internal/emulator/recovery.go
@@ -7,7 +7,8 @@
 // recoveredFraction is the fraction of the in-time service before the kill that service must reach to count as recovered.
 const recoveredFraction = 0.95
 
-// RecoveryResult describes the recovery of service after many proxies were killed at once. Times count from the kill, except At.
+// RecoveryResult describes the recovery of service after many proxies were killed at once. Times count from the kill, except
+// At.
 type RecoveryResult struct {
 	At                   time.Duration // time of the kill, from the start of the scenario
 	Killed               int           // number of proxies killed
@@ -17,8 +18,8 @@
 	InTimeUntilRecovered float64       // the same fraction from the kill until Recovered, for at least one second
 }
 
-// measureRecoveries calculates the recovery from each mass kill. Service is measured second by second until the next fault that
-// begins after the restarts, or until the end of the scenario.
+// measureRecoveries calculates the recovery from each mass kill. Service is measured second by second until the next fault
+// that begins after the restarts, or until the end of the scenario.
 func (r *runner) measureRecoveries() (recoveries []RecoveryResult) {
 	for _, event := range r.plan.Faults {
 		if event.Kind != "mass-kill" {
@@ -57,15 +58,15 @@
 	return inTime / sum
 }
 
-// earnedWeightFraction returns the fraction of the priority weight of the requests due within a span that was earned by replies
-// in time, 0 if there were no requests.
+// earnedWeightFraction returns the fraction of the priority weight of the requests due within a span that was earned by
+// replies in time, 0 if there were no requests.
 func (r *runner) earnedWeightFraction(from, to time.Duration) float64 {
 	sum, earned := r.sumInTime(from, to, func(route Route) float64 { return route.Weight })
 	return earned / max(sum, 1e-9)
 }
 
-// sumInTime returns the total weight of the requests due within a span, and the weight of those that received a reply in time.
-// Requests abandoned by their clients are left out.
+// sumInTime returns the total weight of the requests due within a span, and the weight of those that received a reply in
+// time. Requests abandoned by their clients are left out.
 func (r *runner) sumInTime(from, to time.Duration, weight func(Route) float64) (sum, inTime float64) {
 	for _, result := range r.load.results {
 		if result.Request.At < from || result.Request.At >= to || result.Outcome == Abandoned {
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -19,8 +19,8 @@
 	datagramBufferSize = 64 << 10 // bytes
 )
 
-// relay forwards the TCP and UDP traffic from a proxy's peers to the proxy, over the simulated links between them. It identifies
-// the sender by the source IP address, which is different for each proxy.
+// relay forwards the TCP and UDP traffic from a proxy's peers to the proxy, over the simulated links between them. It
+// identifies the sender by the source IP address, which is different for each proxy.
 type relay struct {
 	network       *network
 	name          string            // of the proxy
@@ -135,7 +135,8 @@
 	directions.Wait()
 }
 
-// forwardDirection forwards the bytes of one direction until an error or the end of the stream. The end is forwarded as well.
+// forwardDirection forwards the bytes of one direction until an error or the end of the stream. The end is forwarded as
+// well.
 func (r *relay) forwardDirection(dst, src net.Conn, from, to string, expired <-chan struct{}) {
 	buffer := make([]byte, streamBufferSize)
 	for {
@@ -160,8 +161,8 @@
 	}
 }
 
-// forwardDatagrams forwards datagrams until the relay is shut down. It applies the loss, duplication and delay of the link from
-// the sender.
+// forwardDatagrams forwards datagrams until the relay is shut down. It applies the loss, duplication and delay of the link
+// from the sender.
 func (r *relay) forwardDatagrams() {
 	target, err := net.ResolveUDPAddr("udp", r.targetAddress)
 	if err != nil {
--- a/internal/emulator/reload_faults.go
+++ b/internal/emulator/reload_faults.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// signalSpacing is the time between consecutive signals. Without it, the kernel could merge pending signals of the same kind.
+// signalSpacing is the time between consecutive signals. Without it, the kernel could merge pending signals of the same
+// kind.
 const signalSpacing = 20 * time.Millisecond
 
-// injectReloads makes proxies reload their configuration several times in a row: first from a truncated file, then with another
-// discovery address. The old address serves open watches for reloadGrace and is then closed.
+// injectReloads makes proxies reload their configuration several times in a row: first from a truncated file, then with
+// another discovery address. The old address serves open watches for reloadGrace and is then closed.
 func (r *runner) injectReloads(ctx context.Context, fault activeFault) {
 	var reloads sync.WaitGroup
 	for _, i := range fault.Targets {
@@ -81,9 +82,9 @@
 	}
 }
 
-// hotRestart starts a successor beside the running process of a proxy and ends the predecessor once the successor is ready. It
-// returns false if the successor does not become ready. It does nothing if no process is running or the proxy has no admin
-// server.
+// hotRestart starts a successor beside the running process of a proxy, from which it inherits the listener, and ends the
+// predecessor once the successor is ready. It returns false if the successor does not become ready. It does nothing if no
+// process is running or the proxy has no admin server.
 func (r *runner) hotRestart(ctx context.Context, i int) bool {
 	m := r.proxies[i]
 	m.mu.Lock()
@@ -127,8 +128,9 @@
 	return true
 }
 
-// adoptSuccessor makes the successor the current process of the proxy and reports whether it did. It refuses if the predecessor
-// has ended, has been signaled to end or has been replaced meanwhile, because another process may be starting in that case.
+// adoptSuccessor makes the successor the current process of the proxy and reports whether it did. It refuses if the
+// predecessor has ended, has been signaled to end or has been replaced meanwhile, because another process may be starting in
+// that case.
 func (m *managedProxy) adoptSuccessor(old, successor *incarnation, address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -144,8 +146,8 @@
 	return true
 }
 
-// awaitAdminReady waits until the readiness endpoint of the admin server reports ready. It returns false on timeout or if the
-// context ends.
+// awaitAdminReady waits until the readiness endpoint of the admin server reports ready. It returns false on timeout or if
+// the context ends.
 func (r *runner) awaitAdminReady(ctx context.Context, address string, timeout time.Duration) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		response, err := http.Get("http://" + address + "/control/ready")
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -12,7 +12,7 @@
 	Violations          []Violation
 	Events              []Event
 	MaxLatenessMS       float64         // maximum delay of the load generator, in milliseconds
-	LateSendTimes       []time.Duration // times of late sends of the load generator, since the start of the event log, ascending
+	LateSendTimes       []time.Duration // times of late sends, since the start of the event log, ascending
 	OnTime              bool            // at most one request in requestsPerLateSend was sent late
 	CPUMicrosPerRequest float64         // CPU time of all proxies, in microseconds per request; 0 if they are not processes
 
@@ -20,11 +20,11 @@
 
 	// Gossip.
 
-	PropagationTimes       []time.Duration // for each node announced to one proxy, time until each other proxy listed it, ascending
+	PropagationTimes       []time.Duration // per node announced to one proxy: time until each other proxy listed it, ascending
 	NeverPropagated        int             // number of pairs of such a node and a proxy that never listed it
 	GossipBytesPerSecond   float64         // sent and received, per second and proxy
 	GossipPacketsPerSecond float64         // received, per second and proxy
-	CatchUpTimes           []time.Duration // from start or continuation of a process until it reported that it had caught up, ascending
+	CatchUpTimes           []time.Duration // from start or continuation of a process until it had caught up, ascending
 
 	// Zone health.
 
@@ -34,7 +34,7 @@
 
 	SlowStartPeak          float64 // maximum load of a node in slow start, as a fraction of its overload limit
 	BackgroundLoad         BackgroundLoad
-	AbsentLookupsPerSecond float64 // look-ups of absent keys at the origin, per second
+	AbsentLookupsPerSecond float64 // lookups of absent keys at the origin, per second
 	AbsentRepliesPerSecond float64 // replies to clients that report an absent key, per second
 	Recoveries             []RecoveryResult
 	MaxAbsentStaleness     time.Duration // longest time for which a key was reported absent after its write
--- a/internal/emulator/resp.go
+++ b/internal/emulator/resp.go
@@ -101,8 +101,8 @@
 func timeoutOf(facts string) float64 {
 	for fact := range strings.SplitSeq(facts, ",") {
 		if text, ok := strings.CutPrefix(fact, "d="); ok {
-			wait, _ := strconv.ParseFloat(text, 64) // 0 if it is not a number
-			return wait
+			timeout, _ := strconv.ParseFloat(text, 64) // 0 if it is not a number
+			return timeout
 		}
 	}
 	return 0
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -125,12 +125,12 @@
 // spareDescriptors is the number of file descriptors needed in addition to those of connections.
 const spareDescriptors = 256
 
-// severedDescriptors is the number of descriptors needed to fill the backlog of a listener while its link is severed: both ends
-// of each filler connection.
+// severedDescriptors is the number of descriptors needed to fill the backlog of a listener while its link is severed: both
+// ends of each filler connection.
 const severedDescriptors = 2 * fillersNeeded
 
-// checkDescriptors returns an error if the limit on open file descriptors is too low for the scenario. A client connection takes
-// one descriptor in this process and one in its proxy, and each cache has one listener per proxy.
+// checkDescriptors returns an error if the limit on open file descriptors is too low for the scenario. A client connection
+// takes one descriptor in this process and one in its proxy, and each cache has one listener per proxy.
 func (d *Scenario) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -14,8 +14,8 @@
 	"woodproxy/internal/emulator"
 )
 
-// A scenario without faults, one with many simultaneous faults, and the latter with hedging violate no invariant, and clients
-// are served.
+// A scenario without faults, one with many simultaneous faults, and the latter with hedging violate no invariant, and
+// clients are served.
 func TestDays(t *testing.T) {
 	t.Parallel()
 	faulty := withFaults(
--- a/internal/emulator/slow_start_check.go
+++ b/internal/emulator/slow_start_check.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// limit returns the maximum number of commands within overloadWindow for a node at an age in its slow start.
-// commandsPerSecond is its full capacity.
+// limit returns the maximum number of commands within overloadWindow for a node whose slow start began age ago. It is
+// overloadMultiple times the current capacity, plus an allowance for random variation. commandsPerSecond is the full capacity.
 func (s *slowStartCheck) limit(age time.Duration, commandsPerSecond float64) float64 {
 	speed := s.fleet.InitialSpeed
 	if slowStart := seconds(s.fleet.SlowStartS); slowStart > 0 {
@@ -83,5 +83,5 @@
 	return mean + 2*math.Sqrt(mean) + 2
 }
 
-// smallMean is the expected number of commands below which a larger random variation is tolerated.
+// smallMean is the expected number of commands below which limit tolerates a larger random variation.
 const smallMean = 30
