--- a/cmd/emulator/growth.go
+++ b/cmd/emulator/growth.go
@@ -45,13 +45,14 @@
 	{"fraction completed", func(n *emulator.ResourceUsage) float64 { return n.CompletedFraction }, 0.85, 0, 0, true},
 }
 
-// Run prints a table. It returns errInvariantViolated after a violation, and otherwise errGrowth if a need exceeds its bound.
+// Run prints a table. It returns errInvariantViolated after a violation, and otherwise errGrowth if a need exceeds its
+// bound.
 func (c *growthCommand) Run(ctx context.Context) error {
 	usual, err := emulator.ReadScenario(c.Day)
 	if err != nil {
 		return err
 	}
-	scaled := usual.WithServers(c.Servers)
+	scaled := usual.WithNodes(c.Servers)
 	if err := scaled.Check(); err != nil {
 		return usageError{err}
 	}
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -12,8 +12,8 @@
 
 var errNoSuchKey = errors.New("the origin has no such key")
 
-// cluster is the state that the nodes of a run share: the keys in each cache and the writes that the origin has executed. Its
-// methods may be called concurrently; methods whose name ends in Locked require mu.
+// cluster is the state that the nodes of a run share: the keys in each cache and the writes that the origin has executed.
+// Its methods may be called concurrently; methods whose name ends in Locked require mu.
 type cluster struct {
 	log         *EventLog
 	scenario    *Scenario
@@ -49,7 +49,7 @@
 	}
 }
 
-// proxyName returns the name of the proxy with an index.
+// proxyName returns the name of the proxy with index i.
 func proxyName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // recordProxy records the proxy to which a client sends a request.
@@ -59,15 +59,15 @@
 	c.proxyOf[id] = proxy
 }
 
-// proxyFor returns the proxy that a client sent a request to, or otherwise if no client has recorded the request. The address at
-// which an attempt arrives does not identify the proxy, because a proxy may have received that address by gossip.
-func (c *cluster) proxyFor(id string, otherwise int) int {
+// proxyFor returns the proxy that a client last sent a request to, or fallback if no client has sent the request. The
+// address at which an attempt arrives does not identify the proxy, because a proxy may have received that address by gossip.
+func (c *cluster) proxyFor(id string, fallback int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p, ok := c.proxyOf[id]; ok {
 		return p
 	}
-	return otherwise
+	return fallback
 }
 
 // checkSent records a CommandInvented event if a node has received a command that no client has sent.
@@ -78,8 +78,8 @@
 	}
 }
 
-// checkReadable records a CommandInvented event if a node could not parse a command. An error of a connection that ended before
-// the last byte is ignored.
+// checkReadable records a CommandInvented event if a node could not parse a command. An error of a connection that ended
+// before the last byte is ignored.
 func (c *cluster) checkReadable(n *Node, proxy int, err error) {
 	var networkError net.Error
 	ended := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) ||
@@ -131,10 +131,10 @@
 	receivedAt     time.Time // of the last byte
 }
 
-// fetch processes a request at the origin. A read inserts the key into the caches that missed; a write invalidates the key in
-// all caches. A repeated write is not executed if it was received within the deduplication window of its idempotency key. The
-// window starts when the executed write was received, regardless of how long either write is queued. The error is errQueueFull
-// or errNoSuchKey.
+// fetch processes a request at the origin. A read inserts the key into the caches that missed; a write invalidates the key
+// in all caches. A repeated write is not executed if it was received within the deduplication window of its idempotency key.
+// The window starts when the executed write was received, regardless of how long either write is queued. The error is
+// errQueueFull or errNoSuchKey.
 func (c *cluster) fetch(n *Node, r originRequest) error {
 	if n.work == nil {
 		return nil
@@ -161,7 +161,8 @@
 	return nil
 }
 
-// writeLocked executes a write, unless it repeats one within the deduplication window, and invalidates the key in all caches.
+// writeLocked executes a write, unless it repeats one within the deduplication window, and invalidates the key in all
+// caches.
 func (c *cluster) writeLocked(n *Node, r originRequest) {
 	window := millis(c.routes[r.id].DedupMS)
 	if at, ok := c.lastExecuted[r.idempotencyKey]; r.idempotencyKey == "" || !ok || r.receivedAt.Sub(at).Abs() >= window+timingSlack {
@@ -188,8 +189,8 @@
 
 // isAbsentLocked reports whether the origin lacks a key: the key was absent at the start and has not been written since.
 func (c *cluster) isAbsentLocked(key string) bool {
-	part := c.scenario.NegativeCache.AbsentFraction
-	return part > 0 && c.written[key] == 0 && hashedFloat("missing", key) < part
+	fraction := c.scenario.NegativeCache.AbsentFraction
+	return fraction > 0 && c.written[key] == 0 && hashedFloat("missing", key) < fraction
 }
 
 // resetCache empties the cache of a node or, if warm, fills it with the keys that caches have at the start.
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -8,8 +8,8 @@
 	"woodproxy/internal/emulator"
 )
 
-// One zone is cut off, another is lost and returns with empty caches, and links are severed in one direction or slow. With and
-// without gossip, no invariant is violated and most requests are served.
+// One zone is cut off, another is lost and returns with empty caches, and links are severed in one direction or slow. With
+// and without gossip, no invariant is violated and most requests are served.
 func TestZoneAndLinkFaultsViolateNoInvariant(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
@@ -36,8 +36,8 @@
 	}
 }
 
-// Among six gossiping processes, two are partitioned, datagrams are lost, two have silent discovery, one is paused and two are
-// killed at once. No invariant is violated, quotas are kept, and at the end all processes have the same rows.
+// Among six gossiping processes, two are partitioned, datagrams are lost, two have silent discovery, one is paused and two
+// are killed at once. No invariant is violated, quotas are kept, and at the end all processes have the same rows.
 func TestGossipConvergesUnderFaults(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
@@ -79,8 +79,8 @@
 	}
 }
 
-// Of three zones, b is lost with its proxies and returns with empty caches, c is cut off, and a is partly slow and failing. All
-// proxies outside b and c evacuate these zones and return to them; none evacuates a. No invariant is violated.
+// Of three zones, b is lost with its proxies and returns with empty caches, c is cut off, and a is partly slow and failing.
+// All proxies outside b and c evacuate these zones and return to them; none evacuates a. No invariant is violated.
 func TestZonesLeft(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
@@ -96,8 +96,8 @@
 		t.Fatalf("got zone faults %+v, want 3; %d verdicts that no fault explains, want 0", r.ZoneFaults, r.FalseVerdicts)
 	}
 	for i, z := range r.ZoneFaults {
-		left := z.NeverLeft == 0 && z.LastLeft < 3*time.Second && z.Returned > 0
-		if left != (i < 2) {
+		evacuated := z.NeverEvacuated == 0 && z.LastEvacuated < 3*time.Second && z.Returned > 0
+		if evacuated != (i < 2) {
 			t.Errorf("unexpected outcome of a zone fault: %+v", z)
 		}
 	}
@@ -106,8 +106,8 @@
 	}
 }
 
-// No proxy evacuates a zone whose only node responds too late, as in a burst, because the node still accepts connections. A zone
-// that is cut off, so that no connection can be established, is evacuated.
+// No proxy evacuates a zone whose only node responds too late, as in a burst, because the node still accepts connections. A
+// zone that is cut off, so that no connection can be established, is evacuated.
 func TestOverloadedZoneIsNotEvacuated(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
@@ -120,14 +120,14 @@
 	if r.FalsePositives > 0 || len(r.ZoneFaults) != 2 {
 		t.Fatalf("got zone faults %+v, want 2; %d evacuations that no fault explains, want 0", r.ZoneFaults, r.FalsePositives)
 	}
-	if busy, cut := r.ZoneFaults[0], r.ZoneFaults[1]; busy.FirstLeft > 0 || cut.FirstLeft == 0 {
+	if busy, cut := r.ZoneFaults[0], r.ZoneFaults[1]; busy.FirstEvacuated > 0 || cut.FirstEvacuated == 0 {
 		t.Errorf("overloaded zone, want no evacuation: %+v; zone cut off, want an evacuation: %+v", busy, cut)
 	}
 }
 
-// The proxy replaces a discovery watch that becomes silent; a change that the watch missed counts as delivered six seconds after
-// it was published. An agent may also have a change before its proxy starts. A proxy whose discovery agent delivers nothing at
-// all violates the drain invariant, which shows that the check works.
+// The proxy replaces a discovery watch that becomes silent; a change that the watch missed counts as delivered six seconds
+// after it was published. An agent may also have a change before its proxy starts. A proxy whose discovery agent delivers
+// nothing at all violates the drain invariant, which shows that the check works.
 func TestListClock(t *testing.T) {
 	t.Parallel()
 	const replaced = `kind = "replace"; at_s = 0.8; for_s = 0.1; nodes = 1; leave_ms = 9500.0`
@@ -177,9 +177,9 @@
 	t.Logf("with shared duties %+v, without %+v", r.BackgroundLoad, unshared.BackgroundLoad)
 }
 
-// Processes with a negative cache are partitioned, paused, killed and restarted, and datagrams are lost, while keys are written.
-// No key is reported absent for longer than allowed after it was written, and the origin receives fewer look-ups of absent keys
-// than clients send.
+// Processes with a negative cache are partitioned, paused, killed and restarted, and datagrams are lost, while keys are
+// written. No key is reported absent for longer than allowed after it was written, and the origin receives fewer lookups of
+// absent keys than clients send.
 func TestNegativeCacheStaysCurrentUnderFaults(t *testing.T) {
 	t.Parallel()
 	text := withFaults(
@@ -197,10 +197,10 @@
 		t.Errorf("%d requests: %v; too few were completed", len(r.Plan.Requests), countOutcomes(r))
 	}
 	if r.AbsentRepliesPerSecond < 20 || r.AbsentLookupsPerSecond > 0.95*r.AbsentRepliesPerSecond {
-		t.Errorf("%.1f replies/s for absent keys, want at least 20; %.1f origin look-ups/s, want at most 95%% of the replies",
+		t.Errorf("%.1f replies/s for absent keys, want at least 20; %.1f origin lookups/s, want at most 95%% of the replies",
 			r.AbsentRepliesPerSecond, r.AbsentLookupsPerSecond)
 	}
-	t.Logf("absent keys: %.1f replies/s, %.1f origin look-ups/s, reported for at most %v after the write",
+	t.Logf("absent keys: %.1f replies/s, %.1f origin lookups/s, reported for at most %v after the write",
 		r.AbsentRepliesPerSecond, r.AbsentLookupsPerSecond, r.MaxAbsentStaleness)
 }
 
--- a/internal/emulator/inject.go
+++ b/internal/emulator/inject.go
@@ -12,8 +12,8 @@
 // nodeRestartDelay is the time for which a node refuses connections during a restart.
 const nodeRestartDelay = 200 * time.Millisecond
 
-// minProxyDowntime is the minimum time between the kill of a proxy and its restart, and between the announcement that a node is
-// leaving and its stop.
+// minProxyDowntime is the minimum time between the kill of a proxy and its restart, and between the announcement that a node
+// is leaving and its stop.
 const minProxyDowntime = 500 * time.Millisecond
 
 // activeFault is a fault event that is due.
@@ -110,13 +110,13 @@
 
 // injectNodeMode sets the mode of nodes for the duration of the fault.
 func (r *runner) injectNodeMode(ctx context.Context, fault activeFault) {
-	part := fault.Part
-	if part == 0 { // kinds without a fraction affect all commands
-		part = 1
+	fraction := fault.Fraction
+	if fraction == 0 { // kinds without a fraction affect all commands
+		fraction = 1
 	}
 	targets, began := r.targetNodes(fault.FaultEvent), time.Now()
 	for _, n := range targets {
-		n.SetMode(nodeModes[fault.Kind], part, 0, 0)
+		n.SetMode(nodeModes[fault.Kind], fraction, 0, 0)
 	}
 	sleep(ctx, fault.duration)
 	for _, n := range targets {
@@ -198,8 +198,8 @@
 	}
 }
 
-// injectAgentAhead kills proxies, drains a node while they are down, and starts them again, so that the discovery agents have
-// the drain before the proxies start.
+// injectAgentAhead kills proxies, drains a node while they are down, and starts them again, so that the discovery agents
+// have the drain before the proxies start.
 func (r *runner) injectAgentAhead(ctx context.Context, fault activeFault) {
 	r.mu.Lock()
 	n := r.nodes[fault.Targets[0]%len(r.nodes)]
@@ -315,11 +315,11 @@
 	}
 }
 
-// crowdConns is the number of connections of a crowd per unit of the fault's count.
+// crowdConns is the number of connections that a crowd opens to each target proxy.
 const crowdConns = 400
 
-// injectMalformedRequests sends malformed requests at fault.Rate per second. It counts those that the proxy neither replied to
-// nor closed the connection on.
+// injectMalformedRequests sends malformed requests at fault.Rate per second. It counts those that the proxy neither replied
+// to nor closed the connection on.
 func (r *runner) injectMalformedRequests(ctx context.Context, fault activeFault) {
 	var clients sync.WaitGroup
 	for i := 0; time.Now().Before(fault.endsAt) && ctx.Err() == nil; i++ {
--- a/internal/emulator/link_faults.go
+++ b/internal/emulator/link_faults.go
@@ -36,13 +36,13 @@
 	case "one-way":
 		fault.affects = func(from, to string) bool { return affected[from] && !affected[to] && mayAffect(to) }
 	case "link":
-		fault.lossRate, fault.duplicateRate, fault.maxDelay = event.Part, min(event.Part, 1-event.Part)/3, millis(event.MaxDelayMS)
+		fault.lossRate, fault.duplicateRate, fault.maxDelay = event.Fraction, min(event.Fraction, 1-event.Fraction)/3, millis(event.MaxDelayMS)
 		fault.affects = func(from, to string) bool {
 			return matchesAny(event.From, from) && matchesAny(event.To, to) ||
 				!event.OneWay && matchesAny(event.To, from) && matchesAny(event.From, to)
 		}
 	case "lossy":
-		fault.lossRate, fault.duplicateRate, fault.maxDelay = min(event.Part, 0.99), event.Part/3, lossyMaxDelay
+		fault.lossRate, fault.duplicateRate, fault.maxDelay = min(event.Fraction, 0.99), event.Fraction/3, lossyMaxDelay
 		fault.affects = func(from, to string) bool { return strings.HasPrefix(from, "n") && strings.HasPrefix(to, "n") }
 	default:
 		fault.affects = func(from, to string) bool { return affected[from] != affected[to] && mayAffect(from) && mayAffect(to) }
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -45,8 +45,8 @@
 	dialRetryDelay      = 20 * time.Millisecond
 	clientBufferSize    = 2 << 10
 	writtenValue        = "vvvvvvvv"
-	noteDuringReply     = "during the reply" // ConnectionClosed: during a reply
-	noteUnexpectedReply = "unexpected"       // ReplyReceived: on an idle connection
+	noteDuringReply     = "during the reply" // Note of a ConnectionClosed event: a reply had begun
+	noteUnexpectedReply = "unexpected"       // Note of a ReplyReceived event: the connection was idle
 )
 
 // loadGenerator sends the requests of the plan at their scheduled times, whether earlier ones have ended or not (open loop).
--- a/internal/emulator/machine_faults.go
+++ b/internal/emulator/machine_faults.go
@@ -40,16 +40,16 @@
 	return ok || kind == "clock-step"
 }
 
-// errno returns the error with a number in the list of the fault, 0 if the list is empty. Numbers past the end wrap around.
-func (f *machineFault) errno(number int) syscall.Errno {
+// errno returns the error at an index of the list of errors, 0 if the list is empty. Indexes past the end wrap around.
+func (f *machineFault) errno(index int) syscall.Errno {
 	if len(f.errnos) == 0 {
 		return 0
 	}
-	return f.errnos[number%len(f.errnos)]
+	return f.errnos[index%len(f.errnos)]
 }
 
-// createFaultPages creates a fault page for each proxy, which is kept across restarts of the proxy. It returns errNoFaultPages
-// if the plan needs fault pages and the options do not allow them.
+// createFaultPages creates a fault page for each proxy. The page stays the same across restarts of the proxy. It returns
+// errNoFaultPages if the plan needs fault pages and the options do not allow them.
 func (r *runner) createFaultPages() error {
 	for _, event := range r.plan.Faults {
 		if needsFaultPages(event.Kind) && !r.options.FaultPages {
@@ -80,7 +80,7 @@
 // injectMachineFault makes system calls of proxies fail or transfer fewer bytes for the duration of the fault.
 func (r *runner) injectMachineFault(ctx context.Context, fault activeFault) {
 	kind := machineFaults[fault.Kind]
-	perMille := max(int(fault.Part*1000), 1)
+	perMille := max(int(fault.Fraction*1000), 1)
 	for _, i := range fault.Targets {
 		r.faultPages[i].Set(kind.call, faultbuild.Fault{Errno: kind.errno(fault.Variant), PerMille: perMille, Short: kind.short})
 	}
@@ -123,6 +123,6 @@
 	}
 }
 
-// reloadGrace is the time for which the old discovery address still serves open watches after proxies were reloaded with a new
-// one.
+// reloadGrace is the time for which the old discovery address still serves open watches after proxies were reloaded with a
+// new one.
 const reloadGrace = 1500 * time.Millisecond
--- a/internal/emulator/needs.go
+++ b/internal/emulator/needs.go
@@ -22,17 +22,17 @@
 
 // measureResourceUsage returns the mean resource usage of the proxies. It must be called after all processes have ended.
 func (r *runner) measureResourceUsage() ResourceUsage {
-	var needs ResourceUsage
+	var usage ResourceUsage
 	for i, m := range r.proxies {
-		needs.MemoryMB += m.peakMemoryMB
-		needs.Descriptors += float64(m.peakDescriptors)
-		needs.ListBytes += float64(r.discoveries[i].BytesSent.Load())
+		usage.MemoryMB += m.peakMemoryMB
+		usage.Descriptors += float64(m.peakDescriptors)
+		usage.ListBytes += float64(r.discoveries[i].BytesSent.Load())
 	}
-	needs.CPU = time.Duration(r.proxyCPU.Load())
-	needs.ConnsToNodes = float64(r.cluster.connections.Load())
+	usage.CPU = time.Duration(r.proxyCPU.Load())
+	usage.ConnsToNodes = float64(r.cluster.connections.Load())
 	proxies := len(r.proxies)
-	needs.CPU /= time.Duration(proxies)
-	for _, sum := range []*float64{&needs.MemoryMB, &needs.Descriptors, &needs.ListBytes, &needs.ConnsToNodes} {
+	usage.CPU /= time.Duration(proxies)
+	for _, sum := range []*float64{&usage.MemoryMB, &usage.Descriptors, &usage.ListBytes, &usage.ConnsToNodes} {
 		*sum /= float64(proxies)
 	}
 	completed := 0
@@ -41,15 +41,15 @@
 			completed++
 		}
 	}
-	needs.CompletedFraction = float64(completed) / float64(max(len(r.plan.Requests), 1))
-	return needs
+	usage.CompletedFraction = float64(completed) / float64(max(len(r.plan.Requests), 1))
+	return usage
 }
 
-// WithServers returns a copy of the scenario with another number of caches. Their total capacity is unchanged, and faults
+// WithNodes returns a copy of the scenario with another number of caches. Their total capacity is unchanged, and faults
 // affect the same fraction of them.
-func (d *Scenario) WithServers(servers int) *Scenario {
-	scaled, factor := *d, float64(servers)/float64(d.Fleet.Nodes)
-	scaled.Fleet.Nodes = servers
+func (d *Scenario) WithNodes(nodes int) *Scenario {
+	scaled, factor := *d, float64(nodes)/float64(d.Fleet.Nodes)
+	scaled.Fleet.Nodes = nodes
 	scaled.Fleet.ServiceMS *= factor
 	scaled.Faults = nil
 	for _, fault := range d.Faults {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -41,8 +41,9 @@
 // writtenValueByte is the byte that the values written by clients consist of.
 const writtenValueByte = "v"
 
-// Node is a stand-in for a cache (RESP2) or the origin (HTTP/1.1). It listens at one address per proxy, to identify the proxy
-// that sent a command. Its methods may be called concurrently, except that Restart must only be called on a stopped node.
+// Node is a stand-in for a cache (RESP2) or the origin (HTTP/1.1). It listens at one address per proxy, to identify the
+// proxy that sent a command. Its methods may be called concurrently, except that Restart must only be called on a stopped
+// node.
 type Node struct {
 	Name     string
 	Origin   bool
@@ -52,21 +53,21 @@
 	addresses []string       // by proxy
 	work      *workQueue     // nil: unlimited capacity
 
-	mu           sync.Mutex
-	mode         NodeMode
-	modeChanged  chan struct{} // closed and replaced when the mode changes
-	affectedPart float64       // fraction of the commands to which the mode applies; the others are served
-	delay        time.Duration // of responses in modes other than modeServe
-	valueSize    int           // bytes
-	conns        map[net.Conn]struct{}
-	stopped      bool
-	cluster      *cluster
+	mu               sync.Mutex
+	mode             NodeMode
+	modeChanged      chan struct{} // closed and replaced when the mode changes
+	affectedFraction float64       // fraction of the commands to which the mode applies; the others are served
+	delay            time.Duration // of responses in modes other than modeServe
+	valueSize        int           // bytes
+	conns            map[net.Conn]struct{}
+	stopped          bool
+	cluster          *cluster
 }
 
 // NewNode starts a node that listens at one port per proxy of a loopback address. The log may be nil.
 func NewNode(ip, name string, origin bool, proxies int, log *EventLog) (*Node, error) {
 	n := &Node{
-		Name: name, Origin: origin, conns: map[net.Conn]struct{}{}, affectedPart: 1, modeChanged: make(chan struct{}),
+		Name: name, Origin: origin, conns: map[net.Conn]struct{}{}, affectedFraction: 1, modeChanged: make(chan struct{}),
 		cluster: &cluster{log: log},
 	}
 	for range proxies {
@@ -93,10 +94,10 @@
 
 // SetMode sets the mode for a fraction of the commands, the delay of responses and the size of values in bytes. The mode
 // "nowhere" also closes the listeners.
-func (n *Node) SetMode(mode NodeMode, part float64, delay time.Duration, size int) {
+func (n *Node) SetMode(mode NodeMode, fraction float64, delay time.Duration, size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.mode, n.affectedPart, n.delay, n.valueSize = mode, part, delay, size
+	n.mode, n.affectedFraction, n.delay, n.valueSize = mode, fraction, delay, size
 	n.notifyModeChanged()
 	if mode == modeRefuses {
 		n.closeListeners()
@@ -234,7 +235,7 @@
 		n.mu.Lock()
 	}
 	mode := n.mode
-	if n.affectedPart < 1 && hashedFloat(id, n.Name) >= n.affectedPart {
+	if n.affectedFraction < 1 && hashedFloat(id, n.Name) >= n.affectedFraction {
 		mode = modeServe
 	}
 	return commandMode{mode: mode, delay: n.delay, value: value(n.Name, id, n.valueSize)}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -127,18 +127,18 @@
 	Hedging  bool    `toml:"parallel"` // hedged attempts are allowed
 }
 
-// Fault describes a fault that lasts for a time. The kind determines the parameters that the fault takes.
+// Fault describes one fault of a scenario. Its kind determines the parameters that it takes.
 type Fault struct {
 	Kind      string  `toml:"kind"`
 	AtS       float64 `toml:"at_s"`
 	DurationS float64 `toml:"for_s"`
-	Count     int     `toml:"nodes"` // number of affected nodes or proxies, or of clients
-	Slowdown  float64 `toml:"times"` // factor on the service time
-	Part      float64 `toml:"part"`  // fraction of the commands, system calls or packets that are affected
-	Rate      float64 `toml:"rate"`  // events per second
-	LeaveMS   float64 `toml:"leave_ms"`
-	StepS     float64 `toml:"step_s"`  // step of the wall clock, positive or negative
-	Variant   int     `toml:"variant"` // selects the error that a failing system call returns
+	Count     int     `toml:"nodes"`    // number of affected nodes or proxies, or of clients
+	Slowdown  float64 `toml:"times"`    // factor on the service time
+	Fraction  float64 `toml:"part"`     // fraction of the commands, system calls or packets that are affected
+	Rate      float64 `toml:"rate"`     // events per second
+	LeaveMS   float64 `toml:"leave_ms"` // time for which a node is announced as leaving before it stops
+	StepS     float64 `toml:"step_s"`   // step of the wall clock, positive or negative
+	Variant   int     `toml:"variant"`  // selects the error that a failing system call returns
 
 	// Parameters of faults that affect many processes.
 
@@ -161,7 +161,8 @@
 	return slices.ContainsFunc(d.Faults, func(fault Fault) bool { return linkFaultKinds[fault.Kind] })
 }
 
-// drainGrace returns the time after the notification of a proxy from which on a draining node must receive nothing from it.
+// drainGrace returns the time after a proxy was notified of a drain during which the draining node may still receive
+// requests from it.
 func (d *Scenario) drainGrace() time.Duration {
 	breaks := slices.ContainsFunc(d.Faults, func(fault Fault) bool { return fault.Kind == "break-conns" })
 	if breaks {
@@ -180,7 +181,7 @@
 	return f.Kind == "part" || f.Kind == "one-way" || f.Kind == "lossy" || f.Kind == "whisper"
 }
 
-// faultParameters holds which parameters a kind of fault takes.
+// faultParameters is the set of parameters that a kind of fault takes.
 type faultParameters struct {
 	nodes, times, part, rate, zone, step bool
 
@@ -238,8 +239,8 @@
 	"clock-step":    {nodes: true, step: true},
 }
 
-// minFaultFraction is the minimum of Fault.Part for kinds of faults that have no effect at 0. The kind link is not among them,
-// since it may delay traffic without loss.
+// minFaultFraction is the minimum of Fault.Fraction for kinds of faults that have no effect at 0. The kind link is not among
+// them, since it may delay traffic without loss.
 var minFaultFraction = map[string]float64{"failing": 0.001, "reset": 0.001, "garbled": 0.001, "halves": 0.001, "lossy": 0.001}
 
 // proxyFaults are the kinds of faults whose targets are proxies or their discovery agents instead of nodes.
--- a/internal/emulator/scenario_check.go
+++ b/internal/emulator/scenario_check.go
@@ -26,7 +26,7 @@
 	c := &scenarioChecker{scenario: d}
 	c.checkFleetAndLoad()
 	c.checkFeatures()
-	c.checkServers()
+	c.checkCapacities()
 	c.checkLoadSteps()
 	c.checkRoutes()
 	for i, fault := range d.Faults {
@@ -94,7 +94,7 @@
 	c.inRange("limits.sockets", float64(d.Limits.Sockets), 64, 1<<20)
 }
 
-func (c *scenarioChecker) checkServers() {
+func (c *scenarioChecker) checkCapacities() {
 	for _, s := range []struct {
 		key string
 		NodeCapacity
@@ -174,7 +174,7 @@
 	}{
 		{key: "nodes", v: float64(fault.Count), needed: needs.nodes, optional: needs.some, low: 1, high: float64(c.maxTargets(fault.Kind))},
 		{key: "times", v: fault.Slowdown, needed: needs.times, low: 1, high: 1000},
-		{key: "part", v: fault.Part, needed: needs.part, low: minFaultFraction[fault.Kind], high: 1},
+		{key: "part", v: fault.Fraction, needed: needs.part, low: minFaultFraction[fault.Kind], high: 1},
 		{key: "rate", v: fault.Rate, needed: needs.rate, low: 0.1, high: 1000},
 		{key: "step_s", v: fault.StepS, needed: needs.step, low: -7200, high: 7200},
 	} {
--- a/internal/emulator/work_queue.go
+++ b/internal/emulator/work_queue.go
@@ -26,9 +26,9 @@
 	startedAt time.Time // start of the slow start; zero: none
 }
 
-func newWorkQueue(server NodeCapacity, slowStart time.Duration, initialSpeed float64) *workQueue {
+func newWorkQueue(capacity NodeCapacity, slowStart time.Duration, initialSpeed float64) *workQueue {
 	return &workQueue{
-		NodeCapacity: server, slowStart: slowStart, initialSpeed: initialSpeed, slowdown: 1, cores: make(chan struct{}, server.Cores),
+		NodeCapacity: capacity, slowStart: slowStart, initialSpeed: initialSpeed, slowdown: 1, cores: make(chan struct{}, capacity.Cores),
 	}
 }
 
@@ -60,11 +60,11 @@
 func (q *workQueue) speed() float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	part := 1.0
+	fraction := 1.0
 	if age := time.Since(q.startedAt); !q.startedAt.IsZero() && age < q.slowStart {
-		part = q.initialSpeed + (1-q.initialSpeed)*float64(age)/float64(q.slowStart)
+		fraction = q.initialSpeed + (1-q.initialSpeed)*float64(age)/float64(q.slowStart)
 	}
-	return part / q.slowdown
+	return fraction / q.slowdown
 }
 
 // process serves a command and blocks meanwhile. The random service time depends only on the request ID and the node, so
--- a/internal/emulator/zone_faults.go
+++ b/internal/emulator/zone_faults.go
@@ -16,21 +16,22 @@
 // zoneFaultGrace is the time after the end of a zone fault in which a verdict is still attributed to it.
 const zoneFaultGrace = 2 * time.Second
 
-// Spans over which the earned fraction of the requests' priority weight is measured, from the begin and the end of a zone fault.
+// Spans over which the earned fraction of the requests' priority weight is measured, from the start and the end of a zone
+// fault.
 const (
-	valueSpanDuring = 5 * time.Second
-	valueSpanAfter  = 10 * time.Second
+	weightSpanDuring = 5 * time.Second
+	weightSpanAfter  = 10 * time.Second
 )
 
-// ZoneFaultResult is the outcome of a zone fault. Times count from the begin of the fault unless stated otherwise.
+// ZoneFaultResult is the outcome of a zone fault. Times count from the start of the fault unless stated otherwise.
 type ZoneFaultResult struct {
-	Zone                string
-	At, Duration        time.Duration // begin, from the start of the event log, and duration
-	FirstLeft, LastLeft time.Duration // until the first and the last proxy outside the zone had evacuated it; 0: none had
-	NeverLeft           int           // number of proxies outside the zone that did not evacuate it during the fault
-	Returned            time.Duration // from the end of the fault until the last proxy served all of its keys there again; 0: not observed
-	ValueDuring         float64       // fraction of the requests' priority weight earned in the first five seconds of the fault
-	ValueAfter          float64       // the same fraction in the ten seconds after the end of the fault
+	Zone                          string
+	At, Duration                  time.Duration // start, since the start of the event log, and duration
+	FirstEvacuated, LastEvacuated time.Duration // until the first and last proxy outside the zone evacuated it; 0: none did
+	NeverEvacuated                int           // number of proxies outside the zone that did not evacuate it during the fault
+	Returned                      time.Duration // from the end of the fault until proxies served all keys there; 0: not observed
+	EarnedWeightDuring            float64       // fraction of the priority weight earned in the first 5 s of the fault
+	EarnedWeightAfter             float64       // the same fraction in the 10 s after the end of the fault
 }
 
 // zoneFault is a fault of a complete zone, in wall-clock time.
@@ -66,7 +67,7 @@
 	return os.WriteFile(m.config.ZoneHealthFile, []byte(text), 0o600)
 }
 
-// zoneFaultBegins records the begin of a fault if it affects a zone. Where operators judge zones, it immediately sets the
+// zoneFaultBegins records the start of a fault if it affects a zone. Where operators judge zones, it immediately sets the
 // override "out".
 func (r *runner) zoneFaultBegins(event FaultEvent) {
 	if event.Zone == "" {
@@ -82,8 +83,8 @@
 	r.overrideZone(event, "out")
 }
 
-// zoneFaultEnds records the end of a fault if it affects a zone. Where operators judge zones, it immediately sets the override
-// "auto".
+// zoneFaultEnds records the end of a fault if it affects a zone. Where operators judge zones, it immediately sets the
+// override "auto".
 func (r *runner) zoneFaultEnds(event FaultEvent) {
 	if event.Zone == "" {
 		return
@@ -123,20 +124,20 @@
 // degradeZone slows down a third of the nodes in a zone and makes a fraction of the responses of all its nodes errors.
 func (r *runner) degradeZone(ctx context.Context, event FaultEvent, duration time.Duration) {
 	nodes := r.nodesInZone(event.Zone)
-	set := func(slowdown, errorPart float64) {
+	set := func(slowdown, errorFraction float64) {
 		for k, n := range nodes {
 			if k%3 == 0 {
 				n.work.setSlowdown(slowdown)
 			}
-			if errorPart > 0 {
-				n.SetMode(modeFails, errorPart, 0, 0)
+			if errorFraction > 0 {
+				n.SetMode(modeFails, errorFraction, 0, 0)
 			} else {
 				n.SetMode(modeServe, 1, 0, 0)
 			}
 		}
 	}
 	r.zoneFaultBegins(event)
-	set(event.Slowdown, event.Part)
+	set(event.Slowdown, event.Fraction)
 	sleep(ctx, duration)
 	set(1, 0)
 	r.zoneFaultEnds(event)
@@ -150,8 +151,8 @@
 	served float64
 }
 
-// measureZoneHealth adds to the report the outcome of each zone fault and the number of verdicts that no fault explains, both
-// from the logs of the proxies.
+// measureZoneHealth adds to the report the outcome of each zone fault and the number of verdicts that no fault explains,
+// both from the logs of the proxies.
 func (r *runner) measureZoneHealth(report *Report) {
 	var shifts []zoneShift
 	r.eachLogLine(func(proxy int, line logLine) {
@@ -193,39 +194,39 @@
 		to = r.log.start.Add(seconds(r.plan.Scenario.LengthS))
 	}
 	result.Duration = to.Sub(fault.from)
-	left, served := map[int]bool{}, map[int]float64{}
+	evacuated, served := map[int]bool{}, map[int]float64{}
 	for _, shift := range shifts {
 		if shift.zone != fault.zone || fault.proxiesInside[shift.proxy] || shift.at.Before(fault.from) {
 			continue
 		}
-		if shift.served == 0 && !left[shift.proxy] && shift.at.Before(to) {
-			left[shift.proxy] = true
+		if shift.served == 0 && !evacuated[shift.proxy] && shift.at.Before(to) {
+			evacuated[shift.proxy] = true
 			elapsed := shift.at.Sub(fault.from)
-			if result.FirstLeft == 0 || elapsed < result.FirstLeft {
-				result.FirstLeft = elapsed
+			if result.FirstEvacuated == 0 || elapsed < result.FirstEvacuated {
+				result.FirstEvacuated = elapsed
 			}
-			result.LastLeft = max(result.LastLeft, elapsed)
+			result.LastEvacuated = max(result.LastEvacuated, elapsed)
 		}
 		if served[shift.proxy] = shift.served; shift.served == 1 && shift.at.After(to) {
 			result.Returned = max(result.Returned, shift.at.Sub(to))
 		}
 	}
 	for i := range r.proxies {
-		if !fault.proxiesInside[i] && !left[i] {
-			result.NeverLeft++
+		if !fault.proxiesInside[i] && !evacuated[i] {
+			result.NeverEvacuated++
 		}
-		if part, ok := served[i]; ok && part < 1 {
+		if fraction, ok := served[i]; ok && fraction < 1 {
 			result.Returned = 0 // this proxy does not serve all of its keys there
 		}
 	}
 	start := r.load.start
-	result.ValueDuring = r.earnedWeightFraction(fault.from.Sub(start), fault.from.Add(valueSpanDuring).Sub(start))
-	result.ValueAfter = r.earnedWeightFraction(to.Sub(start), to.Add(valueSpanAfter).Sub(start))
+	result.EarnedWeightDuring = r.earnedWeightFraction(fault.from.Sub(start), fault.from.Add(weightSpanDuring).Sub(start))
+	result.EarnedWeightAfter = r.earnedWeightFraction(to.Sub(start), to.Add(weightSpanAfter).Sub(start))
 	return result
 }
 
-// hasCause reports whether a fault explains that a proxy finds a zone unreachable at the given time: the fault affects that zone
-// or the zone of the proxy.
+// hasCause reports whether a fault explains that a proxy finds a zone unreachable at the given time: the fault affects that
+// zone or the zone of the proxy.
 func (r *runner) hasCause(proxy int, zone string, at time.Time) bool {
 	return slices.ContainsFunc(r.zoneFaults, func(f zoneFault) bool {
 		return f.explains(at) && (f.zone == zone || f.proxiesInside[proxy])
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -52,8 +52,8 @@
 func (r Row) pairKey() pairKey { return pairKey{r.Scenario, r.Seed, r.Round} }
 
 // Compare compares each variant with the base on one metric. If base is empty, it is the first variant. Compare fails if
-// the table has no such metric or base. The confidence interval is a bootstrap with a fixed seed, so that the same table always
-// gives the same result.
+// the table has no such metric or base. The confidence interval is a bootstrap with a fixed seed, so that the same table
+// always gives the same result.
 func (t *Table) Compare(metric, base string) ([]Difference, error) {
 	if err := checkMetric(metric); err != nil {
 		return nil, err
--- a/internal/experiment/describe.go
+++ b/internal/experiment/describe.go
@@ -28,10 +28,10 @@
 		fmt.Fprintf(&text, "slow start: the greatest load of a node is %.2f of what overloads it\n", report.SlowStartPeak)
 	}
 	if !report.OnTime {
-		fmt.Fprintf(&text, "the load generator was late by up to %.1f ms: the metrics are not valid\n", summary.LoadDelayMS)
+		fmt.Fprintf(&text, "the load generator was late by up to %.1f ms: the metrics are not valid\n", summary.MaxLatenessMS)
 	}
-	if summary.UnansweredBadClients > 0 {
-		fmt.Fprintf(&text, "%d bad clients received neither an error nor a close\n", summary.UnansweredBadClients)
+	if summary.UnansweredMalformed > 0 {
+		fmt.Fprintf(&text, "%d bad clients received neither an error nor a close\n", summary.UnansweredMalformed)
 	}
 	return text.String()
 }
@@ -42,7 +42,7 @@
 		"lost %.1f%%, refused %.1f%%\n", report.Plan.Scenario.Name, report.Plan.Seed, summary.Requests, 100*outcomes.Completed,
 		100*outcomes.InTime, 100*outcomes.Shed, 100*outcomes.Errored, 100*outcomes.Lost, 100*outcomes.Refused)
 	fmt.Fprintf(text, "value %.4f; latency from the scheduled time, ms: p50 %.1f, p90 %.1f, p99 %.1f, max %.1f; "+
-		"%.2f attempts and %.0f us of CPU a request\n", summary.ValueEarned, latency.P50, latency.P90, latency.P99, latency.Max,
+		"%.2f attempts and %.0f us of CPU a request\n", summary.EarnedWeight, latency.P50, latency.P90, latency.P99, latency.Max,
 		summary.AttemptsPerRequest, summary.CPUMicrosPerRequest)
 }
 
@@ -62,8 +62,8 @@
 	for _, zone := range report.ZoneFaults {
 		fmt.Fprintf(text, "zone %s, fault at %.1f s for %.1f s: evacuated after %.0f to %.0f ms, by %d proxies never; "+
 			"fully in use %.0f ms after the end of the fault; value %.3f in its first 5 s, %.3f in the 10 s after its end\n",
-			zone.Zone, zone.At.Seconds(), zone.Duration.Seconds(), zone.FirstLeft.Seconds()*1000, zone.LastLeft.Seconds()*1000, zone.NeverLeft,
-			zone.Returned.Seconds()*1000, zone.ValueDuring, zone.ValueAfter)
+			zone.Zone, zone.At.Seconds(), zone.Duration.Seconds(), zone.FirstEvacuated.Seconds()*1000, zone.LastEvacuated.Seconds()*1000, zone.NeverEvacuated,
+			zone.Returned.Seconds()*1000, zone.EarnedWeightDuring, zone.EarnedWeightAfter)
 	}
 	if report.Plan.Scenario.ZoneHealth.Decision != "" {
 		fmt.Fprintf(text, "zones judged %s: %d verdicts on zones without a fault, and %d passed by alone\n",
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// Outcomes are fractions of the requests that clients waited for, value is earned only within the objective, and latency
-// is measured from the scheduled time.
+// Outcomes are fractions of the requests that clients waited for, priority weight is earned only within the objective, and
+// latency is measured from the scheduled time.
 func TestSummarize(t *testing.T) {
 	scenario, err := emulator.ParseScenario([]byte(scenarioFile))
 	if err != nil {
@@ -226,7 +226,7 @@
 	s := Summarize(report)
 	outcomes, latency := s.Outcomes, s.LatencyMS
 	if outcomes.Completed != 0.5 || outcomes.InTime != 0.25 || outcomes.Shed != 0.25 || outcomes.Lost != 0.25 ||
-		s.ValueEarned != 0.25 || s.AttemptsPerRequest != 0.4 ||
+		s.EarnedWeight != 0.25 || s.AttemptsPerRequest != 0.4 ||
 		latency.P50 < 49 || latency.P50 > 51 || latency.Max < 149 || latency.Max > 151 {
 		t.Errorf("got summary %+v", s)
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -63,7 +63,7 @@
 		}
 		table.Rows = append(table.Rows, row)
 		progress(fmt.Sprintf("%d of %d: %s, %s, seed %d: value %.4f, p99 %.1f ms, %d violations, valid %v",
-			i+1, len(schedule), row.Scenario, row.Variant, row.Seed, summary.ValueEarned, summary.LatencyMS.P99,
+			i+1, len(schedule), row.Scenario, row.Variant, row.Seed, summary.EarnedWeight, summary.LatencyMS.P99,
 			summary.Violations, row.Valid))
 	}
 	return table, nil
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -17,21 +17,21 @@
 
 // Summary contains the metrics of one run. A metric that does not apply to the scenario is 0.
 type Summary struct {
-	Requests             int
-	Outcomes             OutcomeFractions
-	ValueEarned          float64 // by requests completed within their objective, as a fraction of the total value
-	LatencyMS            LatencyQuantiles
-	AttemptsPerRequest   float64 // commands that cache nodes received per request
-	CPUMicrosPerRequest  float64 // CPU time of all proxies together
-	LoadDelayMS          float64 // greatest lateness of the load generator
-	Violations           int     // violations of the emulator's invariants
-	UnansweredBadClients int     // clients that violated the protocol and received neither an error nor a close
-	Gossip               GossipSummary
-	Zones                ZoneSummary
-	SlowStartPeak        float64                 // greatest load of a node in slow start, as a fraction of what overloads it
-	Fleet                emulator.BackgroundLoad // load of the proxy fleet on nodes and discovery
-	FullServiceSeconds   float64                 // maximum time from a kill until service was back to 95% of that before
-	NegativeCache        NegativeCacheStats      // lookups of absent keys
+	Requests            int
+	Outcomes            OutcomeFractions
+	EarnedWeight        float64 // fraction of the total priority weight earned by requests completed within their objective
+	LatencyMS           LatencyQuantiles
+	AttemptsPerRequest  float64 // commands that cache nodes received per request
+	CPUMicrosPerRequest float64 // CPU time of all proxies together
+	MaxLatenessMS       float64 // maximum delay of the load generator
+	Violations          int     // violations of the emulator's invariants
+	UnansweredMalformed int     // malformed requests that led to neither an error reply nor the end of the connection
+	Gossip              GossipSummary
+	Zones               ZoneSummary
+	SlowStartPeak       float64                 // maximum load of a node in slow start, as a fraction of its overload limit
+	Fleet               emulator.BackgroundLoad // load of the proxy fleet on nodes and discovery
+	FullServiceSeconds  float64                 // maximum time from a kill until service was back to 95% of that before
+	NegativeCache       NegativeCacheSummary    // lookups of absent keys
 }
 
 // OutcomeFractions are fractions of the requests whose clients waited for the reply.
@@ -53,7 +53,7 @@
 type GossipSummary struct {
 	PropagationP50MS float64 // from an endpoint event at one proxy until another proxy has received it
 	PropagationP99MS float64
-	NeverReached     int     // number of times that a proxy never received an event
+	NeverPropagated  int     // number of times that a proxy never received an event
 	CatchUpP50MS     float64 // from the start or resumption of a proxy until it has caught up
 	CatchUpMaxMS     float64
 	BytesPerSecond   float64 // per proxy, received and sent
@@ -62,38 +62,38 @@
 
 // ZoneSummary contains the metrics of the zones in which a fault was injected.
 type ZoneSummary struct {
-	FirstEvacuationMS float64 // from the fault until the first proxy has evacuated the zone; maximum over zones
-	LastEvacuationMS  float64 // from the fault until the last proxy has evacuated the zone; maximum over zones
-	RecoveryMS        float64 // from the end of the fault until all proxies serve all keys there; maximum over zones
-	ValueDuringFault  float64 // fraction of the value earned in the first five seconds of the fault; mean over zones
-	ValueAfterFault   float64 // fraction of the value earned in the ten seconds after its end; mean over zones
-	NeverEvacuated    int     // proxies that never evacuated a faulty zone
-	FalseVerdicts     int     // verdicts against zones without a fault
+	FirstEvacuationMS  float64 // from the fault until the first proxy has evacuated the zone; maximum over zones
+	LastEvacuationMS   float64 // from the fault until the last proxy has evacuated the zone; maximum over zones
+	RecoveryMS         float64 // from the end of the fault until all proxies serve all keys there; maximum over zones
+	EarnedWeightDuring float64 // fraction of the priority weight earned in the first five seconds of the fault; mean over zones
+	EarnedWeightAfter  float64 // the same fraction in the ten seconds after the end of the fault; mean over zones
+	NeverEvacuated     int     // proxies that never evacuated a faulty zone
+	FalseVerdicts      int     // verdicts against zones without a fault
 }
 
-// NegativeCacheStats contains the metrics of absent keys, which the origin does not have.
-type NegativeCacheStats struct {
-	OriginMissesPerSecond float64 // lookups of absent keys that reached the origin
-	ClientMissesPerSecond float64 // replies to clients that the key is absent
-	StaleMS               float64 // longest time for which a key was reported absent after it had been written
+// NegativeCacheSummary contains the metrics of absent keys, which the origin does not have.
+type NegativeCacheSummary struct {
+	AbsentLookupsPerSecond float64 // lookups of absent keys that reached the origin
+	AbsentRepliesPerSecond float64 // replies to clients that the key is absent
+	MaxAbsentStalenessMS   float64 // longest time for which a key was reported absent after it had been written
 }
 
 // Summarize computes the metrics of a run from its report.
 func Summarize(report *emulator.Report) Summary {
 	summary := Summary{
-		Requests:             len(report.Results),
-		CPUMicrosPerRequest:  report.CPUMicrosPerRequest,
-		LoadDelayMS:          report.MaxLatenessMS,
-		Violations:           len(report.Violations),
-		UnansweredBadClients: report.UnansweredMalformed,
-		Gossip:               summarizeGossip(report),
-		Zones:                summarizeZones(report),
-		SlowStartPeak:        report.SlowStartPeak,
-		Fleet:                report.BackgroundLoad,
-		NegativeCache: NegativeCacheStats{
-			OriginMissesPerSecond: report.AbsentLookupsPerSecond,
-			ClientMissesPerSecond: report.AbsentRepliesPerSecond,
-			StaleMS:               report.MaxAbsentStaleness.Seconds() * 1000,
+		Requests:            len(report.Results),
+		CPUMicrosPerRequest: report.CPUMicrosPerRequest,
+		MaxLatenessMS:       report.MaxLatenessMS,
+		Violations:          len(report.Violations),
+		UnansweredMalformed: report.UnansweredMalformed,
+		Gossip:              summarizeGossip(report),
+		Zones:               summarizeZones(report),
+		SlowStartPeak:       report.SlowStartPeak,
+		Fleet:               report.BackgroundLoad,
+		NegativeCache: NegativeCacheSummary{
+			AbsentLookupsPerSecond: report.AbsentLookupsPerSecond,
+			AbsentRepliesPerSecond: report.AbsentRepliesPerSecond,
+			MaxAbsentStalenessMS:   report.MaxAbsentStaleness.Seconds() * 1000,
 		},
 	}
 	summary.addResults(report)
@@ -110,7 +110,7 @@
 	return summary
 }
 
-// addResults adds the outcomes, the earned value and the latency that clients observed. A request that its client
+// addResults adds the outcomes, the earned priority weight and the latency that clients observed. A request that its client
 // abandoned counts for none of them.
 func (s *Summary) addResults(report *emulator.Report) {
 	histogram := hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificantDigits)
@@ -143,7 +143,7 @@
 		}
 	}
 	outcomes.divide(max(waited, 1))
-	s.ValueEarned = earned / max(total, 1e-9)
+	s.EarnedWeight = earned / max(total, 1e-9)
 	quantile := func(percent float64) float64 { return float64(histogram.ValueAtQuantile(percent)) / 1000 }
 	s.LatencyMS = LatencyQuantiles{
 		P50: quantile(50),
@@ -163,7 +163,7 @@
 	return GossipSummary{
 		PropagationP50MS: quantileMS(report.PropagationTimes, 0.5),
 		PropagationP99MS: quantileMS(report.PropagationTimes, 0.99),
-		NeverReached:     report.NeverPropagated,
+		NeverPropagated:  report.NeverPropagated,
 		CatchUpP50MS:     quantileMS(report.CatchUpTimes, 0.5),
 		CatchUpMaxMS:     quantileMS(report.CatchUpTimes, 1),
 		BytesPerSecond:   report.GossipBytesPerSecond,
@@ -184,12 +184,12 @@
 	summary := ZoneSummary{FalseVerdicts: report.FalseVerdicts}
 	zones := float64(len(report.ZoneFaults))
 	for _, zone := range report.ZoneFaults {
-		summary.FirstEvacuationMS = max(summary.FirstEvacuationMS, zone.FirstLeft.Seconds()*1000)
-		summary.LastEvacuationMS = max(summary.LastEvacuationMS, zone.LastLeft.Seconds()*1000)
+		summary.FirstEvacuationMS = max(summary.FirstEvacuationMS, zone.FirstEvacuated.Seconds()*1000)
+		summary.LastEvacuationMS = max(summary.LastEvacuationMS, zone.LastEvacuated.Seconds()*1000)
 		summary.RecoveryMS = max(summary.RecoveryMS, zone.Returned.Seconds()*1000)
-		summary.ValueDuringFault += zone.ValueDuring / zones
-		summary.ValueAfterFault += zone.ValueAfter / zones
-		summary.NeverEvacuated += zone.NeverLeft
+		summary.EarnedWeightDuring += zone.EarnedWeightDuring / zones
+		summary.EarnedWeightAfter += zone.EarnedWeightAfter / zones
+		summary.NeverEvacuated += zone.NeverEvacuated
 	}
 	return summary
 }
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -40,9 +40,9 @@
 	return func(d *drawer, f *emulator.Fault) { f.Count = d.intBetween(least, min(most, d.scenario.Proxies)) }
 }
 
-func nodeCountAndFraction(most int, part float64) func(*drawer, *emulator.Fault) {
+func nodeCountAndFraction(most int, maxFraction float64) func(*drawer, *emulator.Fault) {
 	return func(d *drawer, f *emulator.Fault) {
-		f.Count, f.Part = d.intBetween(1, min(most, d.scenario.Fleet.Nodes)), d.floatBetween(0.05, part)
+		f.Count, f.Fraction = d.intBetween(1, min(most, d.scenario.Fleet.Nodes)), d.floatBetween(0.05, maxFraction)
 	}
 }
 
@@ -51,9 +51,9 @@
 func systemCallFault(most float64) func(*drawer, *emulator.Fault) {
 	return func(d *drawer, f *emulator.Fault) {
 		f.Count, f.Variant = d.intBetween(1, d.scenario.Proxies), d.random.IntN(10)
-		f.Part = most
+		f.Fraction = most
 		if d.random.IntN(2) == 0 {
-			f.Part = d.floatBetween(most/20, most/2)
+			f.Fraction = d.floatBetween(most/20, most/2)
 		}
 	}
 }
@@ -203,8 +203,8 @@
 	if random.IntN(4) > 0 {
 		return
 	}
-	servers := []int{200, 800, 3200}[random.IntN(3)]
-	*d.scenario = *d.scenario.WithServers(servers)
+	nodes := []int{200, 800, 3200}[random.IntN(3)]
+	*d.scenario = *d.scenario.WithNodes(nodes)
 	d.scenario.Proxies = min(d.scenario.Proxies, maxProxiesOfLargeFleet)
 	d.scenario.Fleet.ServiceMS = min(d.scenario.Fleet.ServiceMS, 40)
 	d.scenario.Load.Rate = min(d.scenario.Load.Rate, 300)
