--- a/internal/proxy/call_queue_test.go
+++ b/internal/proxy/call_queue_test.go
@@ -15,12 +15,12 @@
 func TestServersWithoutRequestsCostNoGoroutine(t *testing.T) {
 	const servers = 3200
 	router := newTestRouter()
-	targets := make([]wire.Endpoint, servers)
-	for i := range targets {
-		targets[i] = wire.Endpoint{Name: fmt.Sprint("c", i), Address: "127.0.0.1:1", Ready: true}
+	endpoints := make([]wire.Endpoint, servers)
+	for i := range endpoints {
+		endpoints[i] = wire.Endpoint{Name: fmt.Sprint("c", i), Address: "127.0.0.1:1", Ready: true}
 	}
 	before := runtime.NumGoroutine()
-	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, endpoints: targets})
+	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, endpoints: endpoints})
 	if n := runtime.NumGoroutine(); n > before+5 {
 		t.Errorf("got %d goroutines for %d servers, had %d before", n, servers, before)
 	}
@@ -121,14 +121,14 @@
 // Guards against listed servers that take 24 KB or more each. The operators' page documents 4 MB per thousand servers.
 func TestListedServersStayWithinDocumentedMemory(t *testing.T) {
 	const servers, maxBytesEach = 3200, 4 << 10
-	targets := make([]wire.Endpoint, servers)
-	for i := range targets {
+	endpoints := make([]wire.Endpoint, servers)
+	for i := range endpoints {
 		name := fmt.Sprint("c", i)
-		targets[i] = wire.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Ready: true, Weight: 1}
+		endpoints[i] = wire.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Ready: true, Weight: 1}
 	}
 	before := liveHeap()
 	router := newTestRouter()
-	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, endpoints: targets})
+	router.updateEndpoints(endpointUpdate{complete: true, source: listKnownAtStart, endpoints: endpoints})
 	each := (liveHeap() - before) / servers
 	runtime.KeepAlive(router)
 	t.Logf("%d bytes each", each)
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -33,7 +33,7 @@
 	Absent    atomic.Int64 // completed requests whose key is absent at the origin
 
 	Tries     atomic.Int64                         // attempts
-	Cancelled atomic.Int64                         // attempts that were cancelled
+	Cancelled atomic.Int64                         // attempts that were canceled
 	Copies    atomic.Int64                         // attempts that began while another one of the same request was in flight
 	Ends      [balancer.CacheMiss + 1]atomic.Int64 // ended attempts, by outcome
 
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -9,8 +9,8 @@
 )
 
 // Steps of a drain, in units of drainInterval since the call of OutOfService. The component that distributes client
-// connections polls the proxy's state at intervals and acts on the last reply for a moment. Clients continue to use the
-// connections that stay open.
+// connections polls the proxy's state at intervals, so it may direct clients to this proxy for a moment after the drain
+// has started. Clients continue to use the connections that stay open.
 const (
 	drainInterval       = 100 * time.Millisecond
 	closeAfterReplyStep = 4                               // from here on, a connection is closed after its next reply
@@ -134,7 +134,8 @@
 	}
 }
 
-// mayExitLocked reports whether the process may exit. From the time until on, it has to. The caller holds l.mu.
+// mayExitLocked reports whether the process may exit: all connections have ended, or the deadline until has passed. The
+// caller holds l.mu.
 func (l *Listener) mayExitLocked(until time.Time) bool {
 	conditions := lifecycle.ExitConditions{OpenConnections: len(l.conns), DeadlineExceeded: !time.Now().Before(until)}
 	return conditions.MayExit().Permitted()
--- a/internal/proxy/duties.go
+++ b/internal/proxy/duties.go
@@ -33,7 +33,7 @@
 	stats       atomic.Pointer[duties.Statistics]
 	counters    *Counters
 	log         *zap.Logger
-	nodesStale  bool // the latest list of caches was dropped because the mailbox was full; accessed only by the router's goroutine
+	nodesStale  bool // the latest list of caches was dropped, as the mailbox was full; accessed only by the router's goroutine
 }
 
 // NewDuties returns the duties of a router and an endpoint list. It must be called before the Run methods of both.
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -39,14 +39,14 @@
 	previous      *endpointWatch // watch of the previous address, until the current watch has received something
 	failures      int            // consecutive watches that received nothing
 	lastError     string         // error of the last watch; a series of equal errors is logged once
-	receivedFirst bool           // a watch has received something, possibly an empty line
+	receivedFirst bool           // a watch has received something, possibly only a heartbeat
 	receivedEvent bool           // a watch has received a list or a change
 	firstMessage  chan struct{}  // closed when discovery has sent something
 	latestIndex   atomic.Int64   // latest index reported by discovery or another proxy; written by this goroutine
 }
 
-// NewEndpointList returns the endpoint list that watches discovery at an address. initial is the list that this proxy had
-// from before its start, which is passed to the router; nil means that there is none.
+// NewEndpointList returns the endpoint list that watches discovery at an address. initial is the list that was known
+// before this process started. It is passed to the router; nil means that there is none.
 func NewEndpointList(
 	addr string, initial *wire.EndpointList, router *Router, seed uint64, counters *Counters, log *zap.Logger,
 ) *EndpointList {
@@ -262,7 +262,7 @@
 	}
 }
 
-// handleActivity records that a watch has received something, possibly an empty line. The first input on the current
+// handleActivity records that a watch has received something, possibly only a heartbeat. The first input on the current
 // watch ends the watch of the previous address.
 func (l *EndpointList) handleActivity(watch *endpointWatch) {
 	if watch != l.current {
@@ -280,8 +280,8 @@
 	}
 }
 
-// setWatching starts or ends this proxy's duty to watch discovery. At the end the local state is cleared, since it is
-// from then on no more recent than the reports of other proxies.
+// setWatching starts or ends this proxy's duty to watch discovery. When the duty ends, the endpoints that this proxy's
+// discovery has reported are cleared, because from then on they are no more recent than the reports of other proxies.
 func (l *EndpointList) setWatching(on bool) {
 	l.delegated = !on
 	if on {
--- a/internal/proxy/host_index.go
+++ b/internal/proxy/host_index.go
@@ -36,7 +36,7 @@
 
 // updateEndpoints applies a change of the endpoint list in one call.
 func (r *Router) updateEndpoints(update endpointUpdate) {
-	if len(r.hosts) == 0 { // without known hosts, new ones can't be told from old ones
+	if len(r.hosts) == 0 { // without known hosts, new ones can't be distinguished from old ones
 		update.source = listKnownAtStart
 	}
 	r.beginUpdate()
@@ -54,7 +54,8 @@
 	r.updateCount++
 }
 
-// updateSomeHosts applies entries of the endpoint list for about listCallTime, and returns the remaining ones.
+// updateSomeHosts applies as many entries of the endpoint list as it can in about listCallTime, and returns the remaining
+// ones.
 func (r *Router) updateSomeHosts(endpoints []wire.Endpoint, source listSource) (remaining []wire.Endpoint) {
 	for start := time.Now(); len(endpoints) > 0 && time.Since(start) < listCallTime; {
 		step := min(len(endpoints), maxHostsPerStep)
@@ -93,7 +94,7 @@
 	return unlisted
 }
 
-// departSomeHosts marks hosts as departed for about listCallTime, and returns the remaining ones.
+// departSomeHosts marks as many hosts as departed as it can in about listCallTime, and returns the remaining ones.
 func (r *Router) departSomeHosts(unlisted []*upstreamHost) (remaining []*upstreamHost) {
 	for start := time.Now(); len(unlisted) > 0 && time.Since(start) < listCallTime; {
 		step := min(len(unlisted), maxHostsPerStep)
--- a/internal/proxy/peer_endpoints.go
+++ b/internal/proxy/peer_endpoints.go
@@ -16,7 +16,8 @@
 
 // peerEndpoints is the part of the endpoint list that was received from other proxies. An endpoint from another proxy is
 // used if its index is later than the index of this proxy's discovery. An endpoint that this proxy's discovery has
-// reported as draining stays so until this proxy's discovery reports otherwise, regardless of other proxies.
+// reported as draining stays so until this proxy's discovery reports otherwise, or another proxy reports that it has
+// departed.
 type peerEndpoints struct {
 	notify func(index int64, complete bool, list []wire.Endpoint) // sends to other proxies; must not block
 
@@ -24,8 +25,8 @@
 	incoming map[string]peerUpdate // updates to be applied, by name; cleared by the list's goroutine
 
 	// Accessed only by the list's goroutine.
-	newer    map[string]peerUpdate    // updates with a later index than this proxy's discovery, by name
-	local    map[string]wire.Endpoint // as reported by this proxy's discovery since its last complete list, departed ones included
+	newer    map[string]peerUpdate    // updates with a later index than this proxy's discovery has reached, by name
+	local    map[string]wire.Endpoint // as reported by this proxy's discovery since its last complete list, also departed ones
 	complete bool                     // this proxy's discovery has sent a complete list
 }
 
@@ -44,8 +45,8 @@
 
 // ReceivePeerUpdate handles an endpoint from another proxy. It does not block, since the list's goroutine may itself be
 // waiting for the caller's goroutine.
-func (l *EndpointList) ReceivePeerUpdate(index int64, t wire.Endpoint) {
-	l.peerEndpoints.receive(peerUpdate{index, t})
+func (l *EndpointList) ReceivePeerUpdate(index int64, endpoint wire.Endpoint) {
+	l.peerEndpoints.receive(peerUpdate{index, endpoint})
 	l.mailbox.tryPost(l.applyPeerUpdates) // if the mailbox is full, the next call applies this update as well
 }
 
--- a/internal/proxy/peer_endpoints_test.go
+++ b/internal/proxy/peer_endpoints_test.go
@@ -9,8 +9,8 @@
 // byName returns a list as a map by name.
 func byName(list []wire.Endpoint) map[string]wire.Endpoint {
 	m := map[string]wire.Endpoint{}
-	for _, t := range list {
-		m[t.Name] = t
+	for _, endpoint := range list {
+		m[endpoint.Name] = endpoint
 	}
 	return m
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -85,7 +85,7 @@
 	dials     atomic.Int64             // number of dials so far
 }
 
-// localError returns the error of a dial whose system call failed for a reason on this machine.
+// localError returns the error of a dial whose system call failed.
 func localError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -38,7 +38,7 @@
 	hasSlot bool // the request has been passed to the balancer
 
 	life    lifecycle.Request // state that determines whether another attempt may begin
-	endedAt atomic.Int64      // time of the final reply or of the client's departure, in nanoseconds of the router's clock; 0: neither
+	endedAt atomic.Int64      // time of the final reply or the client's departure, in ns of the router's clock; 0: neither
 
 	longestWrite atomic.Int64 // longest time spent writing an attempt whose writing was then broken off, in nanoseconds
 
--- a/internal/proxy/router.go
+++ b/internal/proxy/router.go
@@ -47,7 +47,7 @@
 	hosts         []*upstreamHost // by the balancer's index; nil if the index is free
 	freeHosts     []int           // indices of nil hosts
 	hostIndex     map[string]int  // index by name
-	departedHosts []*upstreamHost // keep their index until no request can refer to it; some may be listed again
+	departedHosts []*upstreamHost // hosts that keep their index until no request can refer to it; some may be listed again
 	updateCount   int             // number of updates of the endpoint list
 
 	dialer       dialer // for upstream connections
@@ -108,7 +108,7 @@
 // apply runs a call on the balancer and executes its decisions.
 func (r *Router) apply(now balancer.Time, call balancerCall) { r.execute(r.decide(now, call)) }
 
-// Endpoints returns the endpoint list as the balancer has it, or nil if the router is too busy to respond in time.
+// Endpoints returns the endpoints that are currently listed, or nil if the router is too busy to respond in time.
 func (r *Router) Endpoints() []wire.Endpoint {
 	reply := make(chan []wire.Endpoint, 1)
 	if !r.mailbox.tryPost(func() { reply <- r.listedEndpoints() }) {
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -171,7 +171,7 @@
 	}{
 		{"many proxies", func(o *balancer.Settings) { o.Proxies, o.PeerCount, o.Self = 400, 399, 7 }},
 		{"one attempt", func(o *balancer.Settings) { o.MaxAttempts = 1 }},
-		{"late replies earn", func(o *balancer.Settings) { o.Routes[0].LateValue = 0.5 }},
+		{"late replies have value", func(o *balancer.Settings) { o.Routes[0].LateValue = 0.5 }},
 		{"short objective", func(o *balancer.Settings) { o.Routes[0].Objective = 500 }},
 		{"deduplicated", func(o *balancer.Settings) { o.Routes[0].Effect, o.Routes[0].DedupWindow = balancer.Deduped, 500 }},
 	} {
--- a/internal/wire/endpointlist_test.go
+++ b/internal/wire/endpointlist_test.go
@@ -41,12 +41,12 @@
 
 // listText returns a complete list of endpoints in discovery's format.
 func listText(endpoints int) string {
-	rows := make([]string, endpoints)
-	for i := range rows {
-		rows[i] = fmt.Sprintf(`{"name":"s-%08x","address":"10.1.%d.%d:6379","zone":"a","type":"m2","group":3,"status":"active","weight":1.0,"since_ms":0}`,
+	entries := make([]string, endpoints)
+	for i := range entries {
+		entries[i] = fmt.Sprintf(`{"name":"s-%08x","address":"10.1.%d.%d:6379","zone":"a","type":"m2","group":3,"status":"active","weight":1.0,"since_ms":0}`,
 			i, i/250, i%250)
 	}
-	return fmt.Sprintf(`{"index":41,"snapshot":true,"endpoints":[%s]}`, strings.Join(rows, ","))
+	return fmt.Sprintf(`{"index":41,"snapshot":true,"endpoints":[%s]}`, strings.Join(entries, ","))
 }
 
 func BenchmarkReadEndpointList(b *testing.B) {
--- a/internal/wire/origin.go
+++ b/internal/wire/origin.go
@@ -49,8 +49,8 @@
 	return readResponse(r, parseOriginResponse)
 }
 
-// parseOriginResponse parses a response up to its value, or including its value if the length is not announced. The body
-// of a response that is not completed is read and discarded.
+// parseOriginResponse parses a response up to its value, or including its value if the length is not announced. If the
+// outcome is not [balancer.Completed], the body is read and discarded.
 func parseOriginResponse(r *bufio.Reader) (Response, error) {
 	h, err := readHTTPHead(r)
 	if err != nil {
