--- a/internal/proxy/local_error_test.go
+++ b/internal/proxy/local_error_test.go
@@ -32,7 +32,7 @@
 		t.Run(fmt.Sprint(failure.call, " ", failure.errno), func(t *testing.T) {
 			cache, origin := newCache(t), newOrigin(t)
 			p := newTestProxy(t, 10, defaultSettings, cache, origin)
-			err := localError(failure.call, failure.errno)
+			err := dialError(failure.call, failure.errno)
 			p.dialer.failCount.Store(2)
 			p.dialer.failing.Store(&err)
 			client := p.dial()
@@ -52,7 +52,7 @@
 func TestLastingLocalFailureIsAnsweredSoon(t *testing.T) {
 	cache, origin := newCache(t), newOrigin(t)
 	p := newTestProxy(t, 10, defaultSettings, cache, origin)
-	err := localError("socket", syscall.EMFILE)
+	err := dialError("socket", syscall.EMFILE)
 	p.dialer.failing.Store(&err)
 	client := p.dial()
 	began := time.Now()
@@ -77,7 +77,7 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			cache, origin := newCache(t), newOrigin(t)
 			p := newTestProxy(t, 10, defaultSettings, cache, origin)
-			err := localError("connect", errno)
+			err := dialError("connect", errno)
 			p.dialer.failing.Store(&err)
 			send(t, p.dial(), getCommand("refused", longWaitMS))
 			p.eventually("no attempt ends with outcome ConnectFailed", func() bool {
@@ -89,7 +89,7 @@
 
 // Errors that a server causes, and nil, are not classified as local errors.
 func TestIsLocalError(t *testing.T) {
-	if !isLocalError(localError("socket", syscall.ENFILE)) || isLocalError(localError("connect", syscall.ECONNREFUSED)) ||
+	if !isLocalError(dialError("socket", syscall.ENFILE)) || isLocalError(dialError("connect", syscall.ECONNREFUSED)) ||
 		isLocalError(nil) {
 		t.Error("isLocalError returns the wrong result for a local error, a refused connection or nil")
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -85,8 +85,8 @@
 	dials     atomic.Int64             // number of dials so far
 }
 
-// localError returns the error of a dial whose system call failed.
-func localError(call string, errno syscall.Errno) error {
+// dialError returns the error of a dial whose system call failed.
+func dialError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
