--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -71,7 +71,7 @@
 	p.eventually("there is no attempt for the second request", func() bool { return p.router.counters.Tries.Load() == 2 })
 	closeConn(t, second)
 	p.eventually("the client's close is not detected", func() bool { return p.router.counters.Left.Load() == 1 })
-	busy.replyValue(t)
+	busy.sendValue(t)
 	send(t, p.dial(), getCommand("stays", longWaitMS))
 	if got := cache.next(t); got.id != "stays" {
 		t.Errorf("request %s was sent after its client had closed the connection", got.id)
@@ -291,7 +291,7 @@
 			get := func(id string) {
 				t.Helper()
 				send(t, client, getCommand(id, longWaitMS))
-				cache.next(t).replyValue(t)
+				cache.next(t).sendValue(t)
 			}
 			get("first")
 			if test.afterReply {
--- a/internal/proxy/client_deadline_test.go
+++ b/internal/proxy/client_deadline_test.go
@@ -50,7 +50,7 @@
 			reader := bufio.NewReader(client)
 			send(t, client, test.before)
 			if test.served {
-				cache.next(t).replyValue(t)
+				cache.next(t).sendValue(t)
 				if _, err := reader.Discard(len("$5\r\nvalue\r\n")); err != nil {
 					t.Fatal(err)
 				}
@@ -58,7 +58,7 @@
 			clients <- client
 			select {
 			case cmd := <-cache.commands:
-				cmd.replyValue(t)
+				cmd.sendValue(t)
 			case cmd := <-origin.commands:
 				send(t, cmd.conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue")
 			case <-time.After(3 * time.Second):
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -38,7 +38,7 @@
 	p.awaitClosing()
 	time.Sleep(50 * time.Millisecond) // enough for Close to return if it does not wait for the accepted connection
 	close(step.proceed)
-	cache.next(t).replyValue(t)
+	cache.next(t).sendValue(t)
 	if line, err := bufio.NewReader(client).ReadString('\n'); line != "$5\r\n" {
 		t.Errorf("got reply line %q, error %v; want a value of 5 bytes", line, err)
 	}
@@ -70,7 +70,7 @@
 	atClose()
 	close(step.proceed)
 	for range clients {
-		cache.next(t).replyValue(t)
+		cache.next(t).sendValue(t)
 	}
 	for _, client := range clients {
 		if line, err := bufio.NewReader(client).ReadString('\n'); line != "$5\r\n" {
@@ -92,7 +92,7 @@
 	p := newSteppedTestProxy(t, step, 10, defaultSettings, cache, origin)
 	client := p.dial()
 	send(t, client, getCommand("waits", longWaitMS))
-	cache.next(t).replyValue(t)
+	cache.next(t).sendValue(t)
 	if line, err := bufio.NewReader(client).ReadString('\n'); line != "$5\r\n" || step.failuresLeft.Load() >= 0 {
 		t.Errorf("got reply line %q, error %v; want a value of 5 bytes", line, err)
 	}
--- a/internal/proxy/local_error_test.go
+++ b/internal/proxy/local_error_test.go
@@ -37,7 +37,7 @@
 			p.dialer.failing.Store(&err)
 			client := p.dial()
 			send(t, client, getCommand("waits", longWaitMS))
-			cache.next(t).replyValue(t)
+			cache.next(t).sendValue(t)
 			if line, err := bufio.NewReader(client).ReadString('\n'); line != "$5\r\n" {
 				t.Errorf("got reply line %q, error %v; want a value of 5 bytes", line, err)
 			}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -135,8 +135,8 @@
 	conn      net.Conn
 }
 
-// replyValue sends the response "value" in the protocol of a cache.
-func (c receivedCommand) replyValue(t *testing.T) {
+// sendValue sends a response with the value "value" in the protocol of a cache.
+func (c receivedCommand) sendValue(t *testing.T) {
 	t.Helper()
 	send(t, c.conn, "*1\r\n$5\r\nvalue\r\n")
 }
