--- a/replica/antientropy_test.go
+++ b/replica/antientropy_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestDigestRepliesAreLimited checks that a limited number of digests is answered with versions, and the others with a
-// busy reply at once.
+// TestDigestRepliesAreLimited checks that only a limited number of digests get a reply with versions, and that the others
+// get a busy reply at once.
 func TestDigestRepliesAreLimited(t *testing.T) {
 	replica := newReplica("a", 9)
 	replica.ApplyEndpointList(0, true, 1, []Row{{Key: "c1"}})
--- a/replica/quota.go
+++ b/replica/quota.go
@@ -75,7 +75,7 @@
 	share      float64          // last share that was returned to the caller in a decision
 	leasedOut  []lease          // leases to other proxies; removed as they expire
 	leasedIn   map[string]lease // leases from other proxies by lender; removed as they expire
-	loggedBase float64          // base share that was logged last
+	loggedBase float64          // base quota that was logged last
 }
 
 // floor returns the share of a proxy whose quota is not confirmed.
@@ -84,7 +84,7 @@
 // atFloor reports whether the quota must stay at its floor.
 func (q *quota) atFloor() bool { return !q.confirmed || q.sync.active }
 
-// base returns the current share of this proxy before leases.
+// base returns the base quota of this proxy, which is its current share before leases.
 func (q *quota) base() float64 {
 	if q.atFloor() {
 		return q.floor()
@@ -133,7 +133,7 @@
 	return q.confirmed
 }
 
-// overcommitted reports whether this proxy has leased out more than its base share.
+// overcommitted reports whether this proxy has leased out more than its base quota.
 func (q *quota) overcommitted(now Time) bool { return q.base() < q.leasedOutShare(now) }
 
 // leasedOutShare removes expired leases and returns the sum of the others. Of several leases to one borrower only the
@@ -222,7 +222,7 @@
 // fleetDemands holds the values from which the deficits of the other proxies are computed.
 type fleetDemands struct {
 	quota *quota
-	base  float64 // base share of this proxy
+	base  float64 // base quota of this proxy
 	total float64 // demand of the fleet in requests per second
 	now   Time
 }
@@ -266,7 +266,7 @@
 
 func (s *Store) shareChanged() bool { return s.quota.share != s.quota.entitlement(s.now) }
 
-// updateShare returns the new share to the caller in a decision. It logs the share only if the base share has changed.
+// updateShare returns the new share to the caller in a decision. It logs the share only if the base quota has changed.
 func (s *Store) updateShare() {
 	previous := s.quota.share
 	s.quota.share = s.quota.entitlement(s.now)
--- a/replica/store.go
+++ b/replica/store.go
@@ -28,7 +28,7 @@
 	quota         *quota
 	ownSequence   int64 // sequence number of the last own row that was written
 	writesSent    int64
-	yielded       bool // another process acts under this proxy's name
+	yielded       bool // another process acts under this proxy's name, or the departure was announced
 	refutedAt     Time
 	tickedAt      Time
 	nextExpiry    Time // time of the next call of expire
--- a/replica/wire_golden_test.go
+++ b/replica/wire_golden_test.go
@@ -161,8 +161,8 @@
 				t.Errorf("got ID %#016x version %#016x sum %#016x, want %#016x %#016x %#016x",
 					version.RowID, version.VersionHash, sum, c.id, c.version, c.sum)
 			}
-			if figures := store.KindStats()[c.row.Kind]; figures.Rows != 1 || figures.Digest != c.sum {
-				t.Errorf("got stats of the kind %+v, want one row with digest %#016x", figures, c.sum)
+			if stats := store.KindStats()[c.row.Kind]; stats.Rows != 1 || stats.Digest != c.sum {
+				t.Errorf("got stats of the kind %+v, want one row with digest %#016x", stats, c.sum)
 			}
 		})
 	}
