--- a/duties/assigner_test.go
+++ b/duties/assigner_test.go
@@ -16,7 +16,7 @@
 }
 
 // A proxy that starts or catches up leaves no duty to others: it watches discovery, keeps idle connections to all
-// nodes, and sends its probes unscheduled.
+// nodes, and sends probes without a schedule from the assigner.
 func TestProxyThatCatchesUpDoesAllDuties(t *testing.T) {
 	settings := Settings{
 		Self: "n1", Watchers: 2, IdleOwners: 2, ShareProbes: true,
--- a/duties/decision.go
+++ b/duties/decision.go
@@ -20,7 +20,7 @@
 	Action    Action
 	Node      string     // name of the node that the action applies to
 	NotBefore Time       // earliest time of the next probe, on the caller's clock
-	Enabled   bool       // whether the action enables or disables
+	Enabled   bool       // true to enable, false to disable what the action sets
 	Kind      ReportKind // kind of the report to send
 	Key       string     // name of the node or watcher that the report describes
 	Report    Report     // body of the report
--- a/duties/nodes.go
+++ b/duties/nodes.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxNodes is the maximum number of nodes whose duties are shared. Every proxy performs the duties of any other node.
+// maxNodes is the maximum number of nodes whose duties are shared. Each proxy performs the duties for further nodes itself.
 const maxNodes = 1024
 
 // node is a node of the endpoint list, with the state of the duties that concern it.
--- a/duties/owners.go
+++ b/duties/owners.go
@@ -8,7 +8,7 @@
 
 // Parameters of the load limit of a proxy. The load is the number of subjects that a proxy owns.
 const (
-	headroom          = 1.1  // minimum ratio of capacity to mean load; if less, most subjects miss their first proxies
+	headroom          = 1.1  // minimum ratio of capacity to mean load; if less, most subjects don't get their first proxies
 	capacityStep      = 1.1  // ratio of two successive capacities
 	roundingTolerance = 1e-9 // prevents floating-point errors from rounding an integral capacity up by one
 )
--- a/duties/owners_test.go
+++ b/duties/owners_test.go
@@ -150,23 +150,23 @@
 	const ownerCount = 4
 	subjects := makeSubjects(90)
 	ownerships := float64(ownerCount * len(subjects))
-	sumOfShares, changes := 0.0, 0
+	sumOfRatios, changes := 0.0, 0
 	for proxies := 4; proxies <= 160; proxies += 3 {
-		share := ownerships / float64(proxies)
+		meanLoad := ownerships / float64(proxies)
 		before := assign(makeMembers(proxies, 3), subjects, ownerCount)
 		for _, leaving := range []int{0, proxies / 2, proxies - 1} {
 			remaining := makeMembers(proxies, 3)
 			remaining[leaving].Alive = false
 			moved := float64(countMoved(before, assign(remaining, subjects, ownerCount)))
-			sumOfShares += moved / share
+			sumOfRatios += moved / meanLoad
 			changes++
-			if moved > 1.25*share+0.2*ownerships {
+			if moved > 1.25*meanLoad+0.2*ownerships {
 				t.Errorf("%d proxies: when proxy %d leaves, got %v of %v ownerships moved, want fewer",
 					proxies, leaving, moved, ownerships)
 			}
 		}
 	}
-	if mean := sumOfShares / float64(changes); mean > 2 {
+	if mean := sumOfRatios / float64(changes); mean > 2 {
 		t.Errorf("got %.2f times the mean load moved by a proxy that leaves, on average; want at most 2", mean)
 	}
 }
--- a/duties/simulation_test.go
+++ b/duties/simulation_test.go
@@ -51,7 +51,7 @@
 	up         bool
 	ejected    bool    // whether this proxy has ejected the probed node
 	ejectUntil Time    // time until which this proxy sends no request to the ejected node
-	backoff    Time    // next ejection time without sharing
+	backoff    Time    // duration of the next ejection, which grows only without sharing
 	suspicion  float64 // probability that a request avoids the node
 	watches    bool
 	watchLive  Time // time from which the watch works, 0 if there is no watch
@@ -234,7 +234,7 @@
 // outageResult is the result of runNodeOutage.
 type outageResult struct {
 	probesPerSecond float64 // rate in the second half of the outage, when all proxies have ejected the node
-	recovery        Time    // time from the end of the outage until 90% of the proxies use the node, above maxRecovery if not
+	recovery        Time    // time after the outage until 90% of the proxies use the node; above maxRecovery if never
 }
 
 const maxRecovery = 30 * Second
--- a/duties/statistics.go
+++ b/duties/statistics.go
@@ -11,7 +11,7 @@
 	EjectedNodes     int   `json:"passed"`   // nodes that this proxy has ejected
 	ProbesSent       int64 `json:"trials"`   // counter of this proxy's probes
 	ReportsReceived  int64 `json:"told"`     // counter of accepted probe reports from other proxies
-	DuplicateProbes  int64 `json:"twice"`    // counter of probes sent less than half an interval after the latest one
+	DuplicateProbes  int64 `json:"twice"`    // counter of reported probes sent less than half an interval after the latest
 	RejectedReports  int64 `json:"refused"`  // counter of rejected probe reports
 	OwnershipChanges int64 `json:"moved"`    // counter of nodes whose idle connections this proxy took over or gave up
 }
