--- a/negativecache/cache.go
+++ b/negativecache/cache.go
@@ -125,9 +125,9 @@
 	return c.decisions
 }
 
-// UpdateFleet updates the state of all proxies that may write, the number of them that is configured, and whether this
-// proxy is still catching up with them. It must be called several times a second: absent keys are served for half a
-// second after a call, and only if
+// UpdateFleet updates the state of all proxies that may write. The parameter configured is the configured number of these
+// proxies, and catchingUp is true while this proxy is still catching up with them. UpdateFleet must be called several
+// times a second: absent keys are served for half a second after a call, and only if
 //   - this proxy is not catching up,
 //   - at least the configured number of proxies is known, and each of them is reachable or departed,
 //   - every announced write report has arrived, or has been outstanding for less than the configured grace period,
--- a/negativecache/fleet.go
+++ b/negativecache/fleet.go
@@ -74,7 +74,8 @@
 		w.outstandingSince = max(r.now, 1) // 0 means that no report is outstanding
 	case r.now-w.outstandingSince >= r.grace:
 		r.flushReason = fmt.Sprintf("%d write reports of proxy %s were lost", w.outstanding(), p.Name)
-		r.holdUntil = max(r.holdUntil, w.outstandingSince+r.maxApplyTime) // the lost reports were sent before outstandingSince
+		// The lost reports were sent before outstandingSince.
+		r.holdUntil = max(r.holdUntil, w.outstandingSince+r.maxApplyTime)
 		w.giveUp()
 	}
 }
--- a/rebalance/errors.go
+++ b/rebalance/errors.go
@@ -42,7 +42,7 @@
 
 // CapacityError reports that no placement within the capacities of the nodes was found.
 type CapacityError struct {
-	Shortfalls    []Shortfall `json:"Lacks"`  // by node: of required targets, otherwise of the nodes that the shards may go to
+	Shortfalls    []Shortfall `json:"Lacks"`  // by node: of required targets, otherwise of nodes that the shards may go to
 	NeededBytes   int64       `json:"Needed"` // total size of all shards in bytes
 	CapacityBytes int64       `json:"Room"`   // total capacity in bytes of the nodes that are not draining
 }
--- a/rebalance/plan_test.go
+++ b/rebalance/plan_test.go
@@ -17,8 +17,8 @@
 	heuristicBytes, fewestBytes        int64 // totals for the inventories planned by the heuristics
 }
 
-// The search finds a plan with the fewest bytes if and only if a plan exists, as compared with the reference search. The
-// heuristics' plans are valid. WOODPROXY_CASES=10000 runs 10,000 cases.
+// The search finds a plan if and only if the reference search shows that one exists, and its plan migrates as few bytes as
+// the reference search. The heuristics' plans are valid. WOODPROXY_CASES=10000 runs 10,000 cases.
 func TestPlanMigratesFewestBytes(t *testing.T) {
 	cases := 250
 	if n, err := strconv.Atoi(os.Getenv("WOODPROXY_CASES")); err == nil {
