--- a/internal/gossip/agent.go
+++ b/internal/gossip/agent.go
@@ -28,7 +28,7 @@
 	// endpoint list with the given index.
 	EndpointChanged(index int64, endpoint wire.Endpoint)
 	// HealthReported handles a peer's observation that an endpoint does not respond, or that it responds again.
-	HealthReported(endpoint string, responsive bool)
+	HealthReported(endpoint string, responds bool)
 	// QuotaShareChanged sets the fraction, 0 to 1, of the cluster-wide limits that this proxy may use.
 	QuotaShareChanged(fraction float64)
 	// RequestCount returns the number of requests from clients since the start.
@@ -155,8 +155,8 @@
 
 // PublishHealth publishes this proxy's observation that an endpoint does not respond, or that it responds again. It does
 // not wait: if the mailbox is full, the call is dropped and counted.
-func (a *Agent) PublishHealth(endpoint string, responsive bool) {
-	a.mailbox.offer(func() { a.apply(a.store.RecordHealth(a.now(), endpoint, responsive)) })
+func (a *Agent) PublishHealth(endpoint string, responds bool) {
+	a.mailbox.offer(func() { a.apply(a.store.RecordHealth(a.now(), endpoint, responds)) })
 }
 
 // PublishOwnRow publishes a row that only this proxy writes and that expires after the time to live. It does not wait: if
--- a/internal/gossip/agent_test.go
+++ b/internal/gossip/agent_test.go
@@ -36,7 +36,7 @@
 	checkReceivedEndpoints(t, secondHandler)
 	if len(firstHandler.healthReports) > 0 {
 		if report := <-firstHandler.healthReports; report != (healthReport{"c1", false}) {
-			t.Errorf("got health report %+v, want c1 not responsive", report)
+			t.Errorf("got health report %+v, want c1 not responding", report)
 		}
 	}
 	eventually(t, "each proxy has half of the quota", func() bool {
--- a/internal/gossip/frames_golden_test.go
+++ b/internal/gossip/frames_golden_test.go
@@ -314,8 +314,8 @@
 // messagesOfPacket returns the user messages of a packet without their frames.
 func messagesOfPacket(t *testing.T, packet []byte) [][]byte {
 	t.Helper()
-	frame, labelled := bytes.CutPrefix(packet, []byte(labelHeader))
-	if !labelled {
+	frame, labeled := bytes.CutPrefix(packet, []byte(labelHeader))
+	if !labeled {
 		t.Fatalf("packet without the cluster label: %x", packet)
 	}
 	return messagesOfFrame(t, frame)
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -56,8 +56,8 @@
 
 // healthReport holds the arguments of one call of Handler.HealthReported.
 type healthReport struct {
-	endpoint   string
-	responsive bool
+	endpoint string
+	responds bool
 }
 
 // recordingHandler is a Handler that records the calls of the agent.
@@ -79,8 +79,8 @@
 
 func (h *recordingHandler) EndpointChanged(_ int64, endpoint wire.Endpoint) { h.endpoints <- endpoint }
 
-func (h *recordingHandler) HealthReported(endpoint string, responsive bool) {
-	h.healthReports <- healthReport{endpoint, responsive}
+func (h *recordingHandler) HealthReported(endpoint string, responds bool) {
+	h.healthReports <- healthReport{endpoint, responds}
 }
 
 func (h *recordingHandler) QuotaShareChanged(fraction float64)    { h.quotaShare.Store(fraction) }
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -45,7 +45,7 @@
 // A message that declares a longer list than it contains is rejected without allocating memory for the declared length.
 func TestDecodeMessageBoundsAllocations(t *testing.T) {
 	start := (&message{Sender: "x", Rows: make([]replica.Row, 1)}).encode()[:12]
-	truncated := slices.Concat(start, []byte{0xdd, 0x7f, 0xff, 0xff, 0xff}) // header of a list of 2^31-1 rows, without the rows
+	truncated := slices.Concat(start, []byte{0xdd, 0x7f, 0xff, 0xff, 0xff}) // header of a list of 2^31-1 rows, without rows
 	var err error
 	if allocations := testing.AllocsPerRun(10, func() { _, err = decodeMessage(truncated) }); allocations > 200 {
 		t.Errorf("got %v allocations, want at most 200", allocations)
--- a/internal/gossip/sender.go
+++ b/internal/gossip/sender.go
@@ -11,8 +11,8 @@
 	senderWorkers       = 4
 	senderQueueCapacity = 64 // messages
 
-	// minStreamMessageLength is the length in bytes from which a message is always sent on a stream. Shorter messages fit into
-	// a packet of one Ethernet frame.
+	// minStreamMessageLength is the length in bytes from which a message is always sent on a stream. Shorter messages fit
+	// into a packet of one Ethernet frame.
 	minStreamMessageLength = 1200
 )
 
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -16,8 +16,8 @@
 	// Dropped is the number of packets, connections, messages and calls that were dropped because a limit was exceeded, a
 	// queue was full, or encoding or sending failed.
 	Dropped atomic.Int64
-	// Faults is the number of malformed messages, messages of unknown types, malformed endpoint rows, and errors and warnings
-	// logged by memberlist.
+	// Faults is the number of malformed messages, messages of unknown types, malformed endpoint rows, and errors and
+	// warnings logged by memberlist.
 	Faults        atomic.Int64
 	ConnectProbes atomic.Int64 // connect probes started
 }
