--- a/internal/simadapter/peers.go
+++ b/internal/simadapter/peers.go
@@ -12,8 +12,8 @@
 // has stopped responding.
 const respondsSuffix = "+"
 
-// peerCode returns the short code that stands in reports between peers in place of an endpoint's name, since the
-// simulator charges a fee for each byte sent.
+// peerCode returns the short code that replaces an endpoint's name in reports between peers, since the simulator charges
+// a fee for each byte sent.
 func peerCode(name string) string {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
--- a/internal/simadapter/session_shapes_test.go
+++ b/internal/simadapter/session_shapes_test.go
@@ -21,7 +21,7 @@
 	name          string
 	seed          uint64
 	pace          int64 // microseconds; the clock advances by 2 to 14 times as much per batch under load
-	firstInstance int   // lowest instance number; above 0 in most sessions, so that instance numbers differ from peer indices
+	firstInstance int   // lowest instance number; above 0 in most sessions, so that it differs from the index among peers
 	instances     int
 	settings      string // JSON, in which ME is replaced by the instance's index among its peers
 	routes        []routeShape
--- a/internal/simnet/zonedfleet_test.go
+++ b/internal/simnet/zonedfleet_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// runUntil advances simulated time until a condition has held at least once for each running proxy. It returns the time
-// until this was so for the first and for the last proxy. It fails the test after the timeout.
+// runUntil advances simulated time until a condition has held at least once for each running proxy. It returns the times
+// after which the condition held for the first proxy and for the last one. It fails the test after the timeout.
 func (z *zoneTest) runUntil(timeout replica.Time, event string, holds func(proxy int) bool) (first, last replica.Time) {
 	z.t.Helper()
 	start, held := z.Now, map[int]bool{}
@@ -300,9 +300,9 @@
 	}
 }
 
-// No zone is evacuated for a fault that is not the failure of one zone: no fault, an outage of a zone for 300 ms, no
-// response from a third of the nodes, to one attempt in five, from any node or from half of two zones, late responses,
-// and a proxy that forges the votes and verdicts of its zone reports.
+// No zone is evacuated without a fault, or for a fault that is not the failure of one zone: an outage of a zone for 300 ms,
+// a third of the nodes, all nodes or half of two zones unresponsive, one attempt in five in a zone unanswered, late
+// responses, and a proxy that forges the votes and verdicts of its zone reports.
 func TestMinorFaultsEvacuateNoZone(t *testing.T) {
 	for _, fault := range minorFaults {
 		t.Run(fault.name, func(t *testing.T) {
