--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -24,7 +24,8 @@
 	stopping       atomic.Bool
 }
 
-// Ready reports whether this process serves clients, and its state in one line. A draining process is still ready.
+// Ready reports whether this process serves clients, and its state in one line. A process that is out of
+// service is ready until it stops.
 func (s *adminService) Ready() (ready bool, reason string) {
 	switch {
 	case s.stopping.Load():
@@ -43,10 +44,10 @@
 	return true, "ready"
 }
 
-// OutOfService starts to drain clients. It returns false if the proxy drains already.
+// OutOfService starts a drain of clients. It returns false if a drain is already in progress.
 func (s *adminService) OutOfService() (changed bool) { return s.clientListener.OutOfService() }
 
-// InService ends the drain. It returns false if the proxy does not drain.
+// InService ends the drain. It returns false if there was none.
 func (s *adminService) InService() (changed bool) { return s.clientListener.InService() }
 
 // PeerStatus returns the status of gossip; it is empty if gossip does not run.
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -24,8 +24,8 @@
 	minSockets      = 64
 )
 
-// Config is the configuration of one proxy process. Read returns a valid one. After the call of Serve it must not be
-// changed; Serve itself adds gossip seeds from the state file and releases KnownEndpoints.
+// Config is the configuration of one proxy process. Read returns a valid one. The caller must not change it after
+// it is passed to Serve, which itself adds gossip seeds from the state file and releases KnownEndpoints.
 type Config struct {
 	Name       string // name of this proxy, unique in the fleet
 	Listen     string // host:port for clients
@@ -178,7 +178,8 @@
 	return nil
 }
 
-// readPolicyFiles opens the state directory and reads the TOML files other than the gossip file, as far as configured.
+// readPolicyFiles opens the state directory and reads the TOML files other than the gossip file. It skips those that are
+// not configured.
 func (c *Config) readPolicyFiles() (err error) {
 	if c.ZoneHealthFile != "" {
 		if c.ZoneHealth, err = readZoneHealthFile(c.ZoneHealthFile, c.Name, c.Settings); err != nil {
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -130,7 +130,7 @@
 }
 
 // QuotaShareChanged passes this proxy's fraction of the fleet's quota, from 0 to 1, to the router.
-func (g *gossipAdapter) QuotaShareChanged(part float64) { g.router.SetQuotaShare(part) }
+func (g *gossipAdapter) QuotaShareChanged(share float64) { g.router.SetQuotaShare(share) }
 
 // RequestCount returns the number of requests since the start of the process.
 func (g *gossipAdapter) RequestCount() int64 { return g.counters.Exchanges.Load() }
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -13,8 +13,8 @@
 // recoveryInterval is the interval at which the inputs of the recovery module are polled.
 const recoveryInterval = 100 * time.Millisecond
 
-// recoveryTracker tracks the stages of recovery after the start of the process. It also writes the state file for as long
-// as the process runs.
+// recoveryTracker tracks the stages of recovery after the start of the process. It also writes the state file, during
+// recovery and afterwards, until stop is called.
 type recoveryTracker struct {
 	gossip    *gossipAdapter
 	endpoints *proxy.EndpointList
--- a/internal/server/resources.go
+++ b/internal/server/resources.go
@@ -20,9 +20,9 @@
 	served   int // client connections that may stay open after a request on them was answered
 }
 
-// divideSockets divides the descriptors. Clients have at most a third of the descriptors that are for requests. Clients
-// that send one request and keep their connection could use up that third, and no other client could send a request
-// although the proxy has capacity. Therefore at most a quarter of all descriptors is available to such connections.
+// divideSockets divides the descriptors. Clients have three fifths of the descriptors that are not reserved. Clients that
+// send one request and keep their connection could use up all of these, and no other client could send a request although
+// the proxy has capacity. Therefore at most a quarter of all descriptors is available to connections of this kind.
 func divideSockets(sockets int) socketBudget {
 	upstream := (sockets - reservedSockets) * 2 / 5
 	return socketBudget{upstream: upstream, clients: sockets - reservedSockets - upstream, served: sockets / 4}
--- a/internal/server/restore_test.go
+++ b/internal/server/restore_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestHangingDiskHoldsUpNothing checks that a write of the state file that hangs does not block its caller, which tracks
-// recovery and ends with the process.
+// TestHangingDiskHoldsUpNothing checks that a write of the state file that hangs does not block its caller: the caller
+// also tracks recovery, and the process waits for it when it stops.
 func TestHangingDiskHoldsUpNothing(t *testing.T) {
 	writing, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -34,7 +34,7 @@
 }
 
 // saveIfDue writes a snapshot if snapshotInterval has passed since the last call that did so, and the snapshot differs from
-// the last one written. A failed write is retried in each interval; only the first failure in a row is logged.
+// the last one written. A failed write is retried in each interval; only the first of consecutive failures is logged.
 func (w *snapshotWriter) saveIfDue() {
 	if w.save == nil || time.Since(w.lastAttempt) < snapshotInterval {
 		return
--- a/internal/server/zonehealthfile.go
+++ b/internal/server/zonehealthfile.go
@@ -23,8 +23,8 @@
 type zoneHealthFile struct {
 	// Zone is the zone of this proxy if the settings have no locality. If they have one, all proxies can use the same file.
 	Zone string `toml:"zone"`
-	// Zones are the zones that nodes may have. If there are none, the zones of the settings apply, and
-	// if these have none either, nodes may have any zone.
+	// Zones are the zones that nodes may have. If there are none, the zones of the settings apply, and if the settings
+	// have none either, nodes may have any zone.
 	Zones   []string     `toml:"zones"`
 	Regions []regionFile `toml:"region"`
 
