--- a/internal/server/api_golden_test.go
+++ b/internal/server/api_golden_test.go
@@ -129,7 +129,7 @@
 	body    string
 }
 
-var fixedFigures = map[string]any{"a": 1, "b": "<&>"}
+var fixedValues = map[string]any{"a": 1, "b": "<&>"}
 
 const maxInventoryBytes = 4 << 20
 
@@ -144,13 +144,13 @@
 	{"zones", fixedService{zones: "this proxy stands in \"a\"\n"}, "GET", "/control/zones", ""},
 	{"no zones", fixedService{}, "GET", "/control/zones", ""},
 	{"zones by the wrong method", fixedService{}, "DELETE", "/control/zones", ""},
-	{"turns", fixedService{duties: fixedFigures}, "GET", "/control/turns", ""},
+	{"turns", fixedService{duties: fixedValues}, "GET", "/control/turns", ""},
 	{"no turns", fixedService{}, "GET", "/control/turns", ""},
 	{"turns by the wrong method", fixedService{}, "POST", "/control/turns", ""},
-	{"recovery", fixedService{recovery: fixedFigures}, "GET", "/control/recovery", ""},
+	{"recovery", fixedService{recovery: fixedValues}, "GET", "/control/recovery", ""},
 	{"no recovery", fixedService{}, "GET", "/control/recovery", ""},
 	{"recovery by the wrong method", fixedService{}, "POST", "/control/recovery", ""},
-	{"missing", fixedService{negativeCache: fixedFigures}, "GET", "/control/missing", ""},
+	{"missing", fixedService{negativeCache: fixedValues}, "GET", "/control/missing", ""},
 	{"no missing", fixedService{}, "GET", "/control/missing", ""},
 	{"missing by the wrong method", fixedService{}, "POST", "/control/missing", ""},
 	{"forget", fixedService{}, "POST", "/control/missing/forget", ""},
@@ -160,16 +160,16 @@
 		"POST", "/control/missing/forget", "",
 	},
 	{"forget by the wrong method", fixedService{}, "GET", "/control/missing/forget", ""},
-	{"plan", fixedService{plan: fixedFigures}, "POST", "/control/moves/plan", "{}"},
+	{"plan", fixedService{plan: fixedValues}, "POST", "/control/moves/plan", "{}"},
 	{"no plan", fixedService{}, "POST", "/control/moves/plan", "{}"},
 	{
 		"plan of the largest inventory",
-		fixedService{plan: fixedFigures},
+		fixedService{plan: fixedValues},
 		"POST", "/control/moves/plan", strings.Repeat(" ", maxInventoryBytes),
 	},
 	{
 		"plan of an oversize inventory",
-		fixedService{plan: fixedFigures},
+		fixedService{plan: fixedValues},
 		"POST", "/control/moves/plan", strings.Repeat(" ", maxInventoryBytes+1),
 	},
 	{"plan by the wrong method", fixedService{}, "GET", "/control/moves/plan", ""},
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -332,22 +332,22 @@
 	}
 }
 
-// expect waits until the comparison of a figure with a number is true. The figure is the number of requests received by a
-// node, the number of watches opened at discovery (calls), or a counter of the proxy.
-func (h *proxyHarness) expect(figure, operator string, want int) {
+// expect waits until the comparison of a quantity with a number is true. The quantity is the number of requests received by
+// a node, the number of watches opened at discovery (calls), or a counter of the proxy.
+func (h *proxyHarness) expect(quantity, operator string, want int) {
 	h.t.Helper()
 	var got int
 	var info string
 	for range maxPolls {
-		if node := h.nodes[figure]; node != nil {
+		if node := h.nodes[quantity]; node != nil {
 			got = int(node.Received.Load())
-		} else if figure == "calls" {
+		} else if quantity == "calls" {
 			got = int(h.discovery.WatchesOpened.Load())
 		} else if conn, err := net.Dial("tcp", h.clientAddress); err == nil {
 			info, err = readInfo(conn)
-			value, ok := counterValue(info, figure)
+			value, ok := counterValue(info, quantity)
 			if err != nil || !ok {
-				h.fail("no counter %s in %q (%v)", figure, info, err)
+				h.fail("no counter %s in %q (%v)", quantity, info, err)
 				return
 			}
 			got = value
@@ -357,7 +357,7 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	h.fail("%s: got %d, want %s %d; %s", figure, got, operator, want, strings.ReplaceAll(info, "\n", " "))
+	h.fail("%s: got %d, want %s %d; %s", quantity, got, operator, want, strings.ReplaceAll(info, "\n", " "))
 }
 
 // counterValue returns the value of a counter from the reply to INFO, which has a line for each counter.
--- a/internal/server/script_test.go
+++ b/internal/server/script_test.go
@@ -38,7 +38,7 @@
 //	CLIENT gets value [from=NAME] | busy | busy-at-will | error | pong | closed | nothing [times=N]
 //	                                         compares the next replies; busy-at-will is busy without Retry-After
 //	CLIENT gets begun within=MS              waits for the beginning of the next reply without consuming it
-//	expect NAME|COUNTER|calls OP N           waits up to two seconds until the comparison is true for the number of requests
+//	expect NAME|COUNTER|calls OP N           waits up to two seconds until the comparison holds for the number of requests
 //	                                         that a node has read, a counter, or the number of watches at discovery
 //	crowd N [from=N] | mutes N               connects clients that get a pong and stay, or that send nothing
 //	pause MS                                 waits
