--- a/internal/admin/connlimit.go
+++ b/internal/admin/connlimit.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// limitedConn is a connection that counts towards the limit of its connLimiter until it is closed.
+// limitedConn is a connection that counts toward the limit of its connLimiter until it is closed.
 type limitedConn struct {
 	net.Conn
 	limiter *connLimiter
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	readTimeout      = 2 * time.Second     // to read one request; handling it may take as long again
+	readTimeout      = 2 * time.Second     // for reading a request; handling it may take as long again
 	maxHeaderBytes   = 4 << 10             // net/http reads up to 4 KiB more than this
-	maxConnections   = 8                   // open at once; a further connection evicts the oldest
+	maxConnections   = 8                   // maximum number of open connections; a further one evicts the oldest
 	writeTimeout     = 2 * readTimeout     // from the end of the request header to the end of the response
 	planReadTimeout  = 10 * time.Second    // from the end of the request header to the end of the inventory
 	planWriteTimeout = 2 * planReadTimeout // from the end of the request header to the end of the plan
--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -11,10 +11,10 @@
 type Service interface {
 	// Ready reports whether this process can serve clients, and gives the reason in one line.
 	Ready() (ready bool, reason string)
-	// OutOfService takes the proxy out of service, so that clients are turned away. It reports whether the proxy was in
+	// OutOfService takes the proxy out of service, so that clients are drained. It reports whether the proxy was in
 	// service before.
 	OutOfService() (changed bool)
-	// InService puts the proxy back in service, so that clients are accepted. It reports whether the proxy was out of
+	// InService puts the proxy back in service, which ends the drain of clients. It reports whether the proxy was out of
 	// service before.
 	InService() (changed bool)
 	// PeerStatus returns the gossip status as text, or "" if no peers are configured.
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -14,6 +14,6 @@
 //
 // The two processes may run different versions of the program, so the messages must not change without a new protocol
 // version. Unknown keys are skipped. A message that is malformed, late, of another protocol version, for another address or
-// from a process of another user is refused with an error, and the restart continues without a hot restart: each process
-// then opens its own listener.
+// from a process of another user is refused with an error, and the program is then replaced without a hot restart: the new
+// process opens a listener of its own.
 package hotrestart
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -23,7 +23,7 @@
 // may be called from any goroutine.
 type Predecessor struct {
 	Listener     *net.TCPListener // client listener, shared with the predecessor; the caller closes it
-	EndpointList []byte           // the predecessor's, in the JSON form of the discovery service; nil if it has none
+	EndpointList []byte           // list of the predecessor in the JSON form of the discovery service; nil if it has none
 	conn         *net.UnixConn
 }
 
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -61,7 +61,8 @@
 			t.Errorf("endpoint list %q, want none", predecessor.EndpointList)
 		}
 		expectCounts(t, counts, successorCounts{holding: 1})
-		successor, _ := openServer(t, dir, testListen, predecessor.Listener, []byte(nullList)) // takes over the socket's name
+		// The successor takes over the socket's name.
+		successor, _ := openServer(t, dir, testListen, predecessor.Listener, []byte(nullList))
 		killServer(t, successor)
 		predecessor.Disconnect()
 		if err := predecessor.Listener.Close(); err != nil {
@@ -162,7 +163,8 @@
 		{name: "another address", reply: offerOf(`{"woodproxy_handover":1,"listen":"10.0.0.5:6379"}` + "\n"), want: errMismatch},
 		{name: "another version", reply: offerOf(`{"woodproxy_handover":7,"listen":"` + testListen + `"}` + "\n"), want: errMismatch},
 		{name: "too long", reply: func(conn *net.UnixConn) error {
-			_ = sendWithListener(conn, make([]byte, 2*maxOfferBytes), passed) // fails because the offer is refused before its end
+			// This fails because the offer is refused before its end.
+			_ = sendWithListener(conn, make([]byte, 2*maxOfferBytes), passed)
 			return nil
 		}, want: errTooLong},
 	} {
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -94,7 +94,8 @@
 	s.closed = true
 	s.closeListener()
 	if removeName {
-		_ = os.Remove(filepath.Join(s.dir, socketName(s.listen))) // harmless if it fails: a leftover socket refuses connections
+		// A failure is harmless: a leftover socket refuses connections.
+		_ = os.Remove(filepath.Join(s.dir, socketName(s.listen)))
 	}
 	s.mu.Unlock()
 	s.accepting.Wait()
--- a/internal/snapshot/failing_disk_test.go
+++ b/internal/snapshot/failing_disk_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestReadErrorIsNoCorruptFile checks that Load reports a temporary read error as other than a CorruptError. The caller
-// moves a corrupt file aside, which would lose a valid file.
+// TestReadErrorIsNoCorruptFile checks that Load does not report a temporary read error as a CorruptError. The caller moves
+// a corrupt file aside, so that a valid file would be lost.
 func TestReadErrorIsNoCorruptFile(t *testing.T) {
 	store := openStore(t, t.TempDir())
 	saveSnapshot(t, store, testSnapshot())
