--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -20,7 +20,8 @@
 	// NoAttemptToDraining: no attempt begins more than MaxDrainDelay after its endpoint was reported as draining or
 	// departed.
 	NoAttemptToDraining
-	// RetryInDedupWindow: no retry of a deduplicated request begins after the window in which upstreams drop duplicates.
+	// RetryInDedupWindow: no retry of a deduplicated request begins more than MaxDeadlineExcess after the end of the
+	// window in which upstreams drop duplicates.
 	RetryInDedupWindow
 	// ToldDeadlineHolds: no attempt is sent with a deadline more than MaxDeadlineExcess after its client's deadline.
 	ToldDeadlineHolds
--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -10,7 +10,7 @@
 // written.
 type AttemptConditions struct {
 	Request        RequestState
-	Cancelled      bool // the balancer has cancelled the attempt
+	Cancelled      bool // the balancer has canceled the attempt
 	EndpointReady  bool // the endpoint is in the endpoint list and is not draining
 	Now            time.Time
 	Deadline       time.Time // deadline of the attempt
--- a/internal/lifecycle/refusal.go
+++ b/internal/lifecycle/refusal.go
@@ -6,7 +6,7 @@
 // Reasons of refusals.
 const (
 	Permitted          Refusal = iota
-	AttemptCancelled           // the balancer has cancelled the attempt
+	AttemptCancelled           // the balancer has canceled the attempt
 	RequestAnswered            // the final reply of the request has been decided
 	ClientGone                 // the request's client has closed its connection
 	EndpointNotReady           // the endpoint is draining or is no longer in the endpoint list
