--- a/cmd/woodproxy/check.go
+++ b/cmd/woodproxy/check.go
@@ -11,7 +11,7 @@
 type checkCommand struct{ configOptions }
 
 // Run reads the configuration and the files that the flags name, checks that the admin server and gossip could listen on
-// their addresses, and prints a line for each valid file. It does not try the address for clients.
+// their addresses, and prints a line for each valid file. It does not check the address for clients.
 func (c *checkCommand) Run() error {
 	config, err := c.read()
 	if err != nil {
--- a/cmd/woodproxy/cli_golden_test.go
+++ b/cmd/woodproxy/cli_golden_test.go
@@ -142,10 +142,11 @@
 // testProxyCommands checks exit codes, error lines and the output of the check subcommand.
 func testProxyCommands(t *testing.T, programs string) {
 	dir := t.TempDir()
-	parts := featureFlags(t, dir)
+	flags := featureFlags(t, dir)
 	writeFile(t, dir, "good.json", cliConfig)
 	writeFile(t, dir, "shadow.json", strings.Replace(cliConfig, `"seed"`, `"watch":{"tick":6},"seed"`, 1))
-	writeFile(t, dir, "notifying.json", strings.Replace(cliConfig, `"may-cancel"`, `"may-tell":true,"may-cancel"`, 1)) // lacks the key "me"
+	// Notifications require the key "me", which this configuration lacks.
+	writeFile(t, dir, "notifying.json", strings.Replace(cliConfig, `"may-cancel"`, `"may-tell":true,"may-cancel"`, 1))
 	writeFile(t, dir, "nameless.json", strings.Replace(cliConfig, `"name":"alpha",`, "", 1))
 	writeFile(t, dir, "garbled.json", cliConfig[:len(cliConfig)/2])
 	writeFile(t, dir, "bad.toml", "unknown_key = 1\n")
@@ -168,7 +169,7 @@
 		proxy("check", "--config=good.json", "--listen=here"),
 		proxy("check", "--config=good.json", "--discovery=here"),
 		proxy("check", "--config=good.json", "--management=127.0.0.1:1"),
-		proxy(append([]string{"check", "--config=good.json", "--management=127.0.0.1:0"}, parts...)...),
+		proxy(append([]string{"check", "--config=good.json", "--management=127.0.0.1:0"}, flags...)...),
 		proxy("check", "--config=good.json", "--peers=peers.toml", "--peers-listen=nowhere"),
 		proxy("check", "--config=good.json", "--turns=turns.toml"),
 		proxy("check", "--config=good.json", "--missing=missing.toml"),
@@ -183,12 +184,12 @@
 		proxy("zones", "127.0.0.1:1", "a", "out", "--epoch=x"),
 		proxy("zones", "127.0.0.1:1", "a", "out", "--epoch=3", "--force=leave no zone"),
 	}
-	for _, part := range []string{"peers", "zones", "turns", "missing", "moves"} {
+	for _, feature := range []string{"peers", "zones", "turns", "missing", "moves"} {
 		args := []string{"check", "--config=good.json"}
-		if part == "turns" { // this flag requires --peers before its own file is read
+		if feature == "turns" { // this flag requires --peers before its own file is read
 			args = append(args, "--peers=peers.toml")
 		}
-		all = append(all, proxy(append(args[:len(args):len(args)], "--"+part+"=bad.toml")...), proxy(append(args[:len(args):len(args)], "--"+part+"=none.toml")...))
+		all = append(all, proxy(append(args[:len(args):len(args)], "--"+feature+"=bad.toml")...), proxy(append(args[:len(args):len(args)], "--"+feature+"=none.toml")...))
 	}
 	for _, variable := range []string{
 		"GW_CONFIG=good.json", "GW_NAME=beta", "GW_LISTEN=here", "GW_DISCOVERY=here", "GW_MANAGEMENT=here",
--- a/cmd/woodproxy/counters.go
+++ b/cmd/woodproxy/counters.go
@@ -18,13 +18,13 @@
 	Address string `arg:"" help:"Address at which the proxy serves clients."`
 }
 
-// Run sends the command INFO to the proxy's address for clients and prints the response.
+// Run sends the command INFO to the proxy's address for clients and prints the reply.
 func (c *countersCommand) Run() error {
 	conn, err := net.DialTimeout("tcp", c.Address, countersTimeout)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // the response has been read
+	defer func() { _ = conn.Close() }() // the reply has been read
 	if err := conn.SetDeadline(time.Now().Add(countersTimeout)); err != nil {
 		return fmt.Errorf("set the deadline of the call: %w", err)
 	}
--- a/cmd/woodproxy/liststandin_test.go
+++ b/cmd/woodproxy/liststandin_test.go
@@ -83,16 +83,16 @@
 }
 
 // object encodes entries as a JSON object of the discovery protocol.
-func (d *fakeDiscovery) object(whole bool, rows []emulator.Endpoint) string {
+func (d *fakeDiscovery) object(complete bool, rows []emulator.Endpoint) string {
 	lines := make([]string, len(rows))
 	for i, row := range rows {
 		lines[i] = row.String()
 	}
 	if d.indented {
-		return fmt.Sprintf("{\n  \"index\": %d,\n  \"snapshot\": %v,\n  \"endpoints\": [\n    %s\n  ]\n}\n", d.version, whole,
+		return fmt.Sprintf("{\n  \"index\": %d,\n  \"snapshot\": %v,\n  \"endpoints\": [\n    %s\n  ]\n}\n", d.version, complete,
 			strings.ReplaceAll(strings.Join(lines, ",\n    "), `,"`, ",\n      \""))
 	}
-	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`+"\n", d.version, whole, strings.Join(lines, ","))
+	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`+"\n", d.version, complete, strings.Join(lines, ","))
 }
 
 // completeList returns the complete list in the form that a configuration contains.
--- a/cmd/woodproxy/process_golden_test.go
+++ b/cmd/woodproxy/process_golden_test.go
@@ -419,7 +419,7 @@
 	goldentest.Text(t, "process_zones.golden", all.String())
 }
 
-// sendRequestsSteadily has a client request one key after the other until the test ends.
+// sendRequestsSteadily makes a client request keys, one after the other, until the test ends.
 func sendRequestsSteadily(t *testing.T, p *proxyProcess) {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.clients)
