--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -85,8 +85,8 @@
 	dials     atomic.Int64             // number of dials so far
 }
 
-// localError returns the error of a dial whose system call failed for a reason on this machine.
-func localError(call string, errno syscall.Errno) error {
+// dialError returns the error of a dial whose system call failed.
+func dialError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
@@ -135,8 +135,8 @@
 	conn      net.Conn
 }
 
-// replyValue sends the response "value" in the protocol of a cache.
-func (c receivedCommand) replyValue(t *testing.T) {
+// sendValue sends a response with the value "value" in the protocol of a cache.
+func (c receivedCommand) sendValue(t *testing.T) {
 	t.Helper()
 	send(t, c.conn, "*1\r\n$5\r\nvalue\r\n")
 }
