--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -21,7 +21,7 @@
 func (c *AttemptConditions) MayBegin() Refusal {
 	switch {
 	case c.Cancelled:
-		return AttemptCancelled
+		return AttemptCanceled
 	case c.Request != RequestPending:
 		return c.Request.refusal()
 	case !c.DedupWindowEnd.IsZero() && !c.Now.Before(c.DedupWindowEnd):
--- a/internal/lifecycle/refusal.go
+++ b/internal/lifecycle/refusal.go
@@ -6,7 +6,7 @@
 // Reasons of refusals.
 const (
 	Permitted          Refusal = iota
-	AttemptCancelled           // the balancer has canceled the attempt
+	AttemptCanceled            // the balancer has canceled the attempt
 	RequestAnswered            // the final reply of the request has been decided
 	ClientGone                 // the request's client has closed its connection
 	EndpointNotReady           // the endpoint is draining or is no longer in the endpoint list
@@ -31,7 +31,7 @@
 // refusalNames holds the texts of refusals in logs and metrics.
 var refusalNames = [numRefusals]string{
 	Permitted:          "permitted",
-	AttemptCancelled:   "attempt_cancelled",
+	AttemptCanceled:    "attempt_cancelled",
 	RequestAnswered:    "request_answered",
 	ClientGone:         "client_gone",
 	EndpointNotReady:   "endpoint_not_ready",
--- a/internal/proxy/upstream_roundtrip.go
+++ b/internal/proxy/upstream_roundtrip.go
@@ -76,7 +76,7 @@
 func (u *upstreamConn) refused(refusal lifecycle.Refusal) roundTripResult {
 	u.host.router.counters.Refusals[refusal].Add(1)
 	switch refusal {
-	case lifecycle.AttemptCancelled:
+	case lifecycle.AttemptCanceled:
 		return roundTripResult{attemptResult: attemptResult{outcome: balancer.Cancelled}}
 	case lifecycle.EndpointNotReady:
 		return notSent(false)
