--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -10,7 +10,7 @@
 // written.
 type AttemptConditions struct {
 	Request        RequestState
-	Cancelled      bool // the balancer has canceled the attempt
+	Canceled       bool // the balancer has canceled the attempt
 	EndpointReady  bool // the endpoint is in the endpoint list and is not draining
 	Now            time.Time
 	Deadline       time.Time // deadline of the attempt
@@ -20,7 +20,7 @@
 // MayBegin decides whether an attempt may be written. The attempt may be the first, a retry or a hedged attempt.
 func (c *AttemptConditions) MayBegin() Refusal {
 	switch {
-	case c.Cancelled:
+	case c.Canceled:
 		return AttemptCanceled
 	case c.Request != RequestPending:
 		return c.Request.refusal()
--- a/internal/lifecycle/orders_test.go
+++ b/internal/lifecycle/orders_test.go
@@ -159,7 +159,7 @@
 		want       lifecycle.Refusal
 	}{
 		{good, lifecycle.Permitted},
-		{with(func(c *lifecycle.AttemptConditions) { c.Cancelled = true }), lifecycle.AttemptCanceled},
+		{with(func(c *lifecycle.AttemptConditions) { c.Canceled = true }), lifecycle.AttemptCanceled},
 		{with(func(c *lifecycle.AttemptConditions) { c.Request = lifecycle.RequestReplied }), lifecycle.RequestAnswered},
 		{with(func(c *lifecycle.AttemptConditions) { c.Request = lifecycle.RequestAbandoned }), lifecycle.ClientGone},
 		{with(func(c *lifecycle.AttemptConditions) { c.EndpointReady = false }), lifecycle.EndpointNotReady},
--- a/internal/proxy/upstream_roundtrip.go
+++ b/internal/proxy/upstream_roundtrip.go
@@ -58,7 +58,7 @@
 // conditions returns the conditions that determine whether an attempt may be written now.
 func (u *upstreamConn) conditions(attempt *attempt, until time.Time) lifecycle.AttemptConditions {
 	return lifecycle.AttemptConditions{
-		Request: attempt.request.life.State(), Cancelled: attempt.cancelled.Load(), EndpointReady: u.host.ready.Load(),
+		Request: attempt.request.life.State(), Canceled: attempt.cancelled.Load(), EndpointReady: u.host.ready.Load(),
 		Now: time.Now(), Deadline: until, DedupWindowEnd: u.host.router.dedupWindowEnd(attempt),
 	}
 }
