--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -10,14 +10,14 @@
 
 // recordOutcome updates the statistics of the endpoint and the caches or the origin, and adapts their limits.
 func (b *Balancer) recordOutcome(request *requestState, endpoint *endpointState, a AttemptResult) {
-	unanswered := a.Outcome == TimedOut || a.Outcome == Cancelled
+	unanswered := a.Outcome == TimedOut || a.Outcome == Canceled
 	attempt := finishedAttempt{AttemptResult: a, request: request, endpoint: endpoint}
 	attempt.responded = a.Outcome.isResponse()
 	attempt.failedProbe = unanswered && endpoint.ejected
 	tookLong := a.Latency > b.routes[request.Route].latencyBudget*3/4
 	// an attempt that was canceled because its time was up is as late as one whose own timeout expired first
 	attempt.late = a.Outcome == TimedOut ||
-		tookLong && (a.Outcome == Completed || a.Outcome == CacheMiss || a.Outcome == Cancelled)
+		tookLong && (a.Outcome == Completed || a.Outcome == CacheMiss || a.Outcome == Canceled)
 	endpoint.overloads.observe(b.now, indicator(a.Outcome == Overloaded), 1.0/8, 3*second)
 	b.recordLatency(&attempt)
 	b.adaptLimits(&attempt)
--- a/balancer/scenario_test.go
+++ b/balancer/scenario_test.go
@@ -126,7 +126,7 @@
 var outcomes = map[string]balancer.Outcome{
 	"completed": balancer.Completed, "server-error": balancer.ServerError, "overloaded": balancer.Overloaded,
 	"timed-out": balancer.TimedOut, "connect-failed": balancer.ConnectFailed, "reset": balancer.Reset,
-	"cancelled": balancer.Cancelled, "not-sent": balancer.NotSent, "cache-miss": balancer.CacheMiss,
+	"cancelled": balancer.Canceled, "not-sent": balancer.NotSent, "cache-miss": balancer.CacheMiss,
 }
 
 func (r *scenarioRunner) addSettings(options map[string]string) {
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -110,8 +110,8 @@
 	ConnectFailed
 	// Reset means that the connection was reset.
 	Reset
-	// Cancelled attempts were canceled by the proxy.
-	Cancelled
+	// Canceled attempts were canceled by the proxy.
+	Canceled
 	// NotSent means that the request did not leave the proxy.
 	NotSent
 	// CacheMiss means that the cache does not hold the key.
--- a/internal/proxy/request_slot.go
+++ b/internal/proxy/request_slot.go
@@ -183,7 +183,7 @@
 // mayHaveRun reports whether the upstream may have executed an attempt with the given outcome.
 func mayHaveRun(outcome balancer.Outcome) bool {
 	switch outcome {
-	case balancer.Completed, balancer.ServerError, balancer.TimedOut, balancer.Reset, balancer.Cancelled:
+	case balancer.Completed, balancer.ServerError, balancer.TimedOut, balancer.Reset, balancer.Canceled:
 		return true
 	}
 	return false
--- a/internal/proxy/upstream_roundtrip.go
+++ b/internal/proxy/upstream_roundtrip.go
@@ -77,7 +77,7 @@
 	u.host.router.counters.Refusals[refusal].Add(1)
 	switch refusal {
 	case lifecycle.AttemptCanceled:
-		return roundTripResult{attemptResult: attemptResult{outcome: balancer.Cancelled}}
+		return roundTripResult{attemptResult: attemptResult{outcome: balancer.Canceled}}
 	case lifecycle.EndpointNotReady:
 		return notSent(false)
 	}
@@ -110,7 +110,7 @@
 	outcome := balancer.ConnectFailed
 	switch {
 	case attempt.cancelled.Load():
-		outcome = balancer.Cancelled
+		outcome = balancer.Canceled
 	case isLocalError(err): // a local error is no evidence about the server
 		outcome = balancer.NotSent
 	}
@@ -125,7 +125,7 @@
 	outcome := balancer.Reset
 	switch {
 	case attempt.cancelled.Load():
-		outcome = balancer.Cancelled
+		outcome = balancer.Canceled
 	case !mayHaveRun:
 		outcome = balancer.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -154,7 +154,7 @@
 	}
 	now := r.zoneNow()
 	if r.hosts[index].isOrigin {
-		if outcome != balancer.NotSent && outcome != balancer.Cancelled {
+		if outcome != balancer.NotSent && outcome != balancer.Canceled {
 			z.health.OriginFetched(now, outcome != balancer.Completed || took > z.latencyLimit)
 		}
 		return
@@ -170,7 +170,7 @@
 		return zonehealth.ConnectFailed
 	case outcome == balancer.TimedOut, outcome == balancer.Reset:
 		return zonehealth.Unanswered
-	case outcome == balancer.Cancelled:
+	case outcome == balancer.Canceled:
 		return zonehealth.Cancelled
 	case outcome == balancer.NotSent:
 		return zonehealth.NotSent
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -13,7 +13,7 @@
 // outcomes maps the protocol's names of attempt outcomes to the balancer's outcomes.
 var outcomes = map[string]balancer.Outcome{
 	"pass": balancer.Completed, "fault": balancer.ServerError, "no_room": balancer.Overloaded, "too_slow": balancer.TimedOut,
-	"no_route": balancer.ConnectFailed, "cut": balancer.Reset, "undone": balancer.Cancelled, "stale_send": balancer.NotSent,
+	"no_route": balancer.ConnectFailed, "cut": balancer.Reset, "undone": balancer.Canceled, "stale_send": balancer.NotSent,
 	"none_here": balancer.CacheMiss,
 }
 
--- a/internal/wire/protocol_golden_test.go
+++ b/internal/wire/protocol_golden_test.go
@@ -41,7 +41,7 @@
 	balancer.TimedOut:      "timed out",
 	balancer.ConnectFailed: "connect failed",
 	balancer.Reset:         "reset",
-	balancer.Cancelled:     "cancelled",
+	balancer.Canceled:      "cancelled",
 	balancer.NotSent:       "not sent",
 	balancer.CacheMiss:     "cache miss",
 }
