--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -171,7 +171,7 @@
 	case outcome == balancer.TimedOut, outcome == balancer.Reset:
 		return zonehealth.Unanswered
 	case outcome == balancer.Canceled:
-		return zonehealth.Cancelled
+		return zonehealth.Canceled
 	case outcome == balancer.NotSent:
 		return zonehealth.NotSent
 	case outcome == balancer.ServerError, outcome == balancer.Overloaded, took > z.latencyLimit:
--- a/zonehealth/attempts.go
+++ b/zonehealth/attempts.go
@@ -24,7 +24,7 @@
 	switch outcome {
 	case AnsweredInTime, AnsweredLate:
 		c.attemptAnswered(n, now, outcome, elapsed)
-	case Cancelled, Unanswered, ConnectFailed:
+	case Canceled, Unanswered, ConnectFailed:
 		c.attemptUnanswered(n, now, outcome, elapsed)
 	}
 	if n.inFlight == 0 {
@@ -50,7 +50,7 @@
 	if outcome == ConnectFailed {
 		e.addConnectFailure(n.hash)
 	}
-	if outcome == Cancelled && !n.overdue && elapsed < c.overdueTime() {
+	if outcome == Canceled && !n.overdue && elapsed < c.overdueTime() {
 		return // canceled by its client or at its deadline, which is no evidence about the node
 	}
 	e.counts.unanswered++
--- a/zonehealth/outcome.go
+++ b/zonehealth/outcome.go
@@ -10,8 +10,8 @@
 	AnsweredLate
 	// Unanswered is a timeout or a broken connection.
 	Unanswered
-	// Cancelled is a canceled attempt. It counts as unanswered only if it was overdue.
-	Cancelled
+	// Canceled is a canceled attempt. It counts as unanswered only if it was overdue.
+	Canceled
 	// NotSent is an attempt that was never sent. It is no evidence about the zone.
 	NotSent
 	// ConnectFailed is a connection that was refused or could not be opened. It counts as unanswered.
--- a/zonehealth/scenario_test.go
+++ b/zonehealth/scenario_test.go
@@ -93,7 +93,7 @@
 	}
 	votes    = map[string]zonehealth.Vote{"for": zonehealth.VoteHealthy, "against": zonehealth.VoteUnhealthy, "none": zonehealth.NoVote}
 	outcomes = map[string]zonehealth.Outcome{
-		"answered": zonehealth.AnsweredInTime, "late": zonehealth.AnsweredLate, "nothing": zonehealth.Unanswered, "undone": zonehealth.Cancelled,
+		"answered": zonehealth.AnsweredInTime, "late": zonehealth.AnsweredLate, "nothing": zonehealth.Unanswered, "undone": zonehealth.Canceled,
 		"shut": zonehealth.ConnectFailed,
 	}
 )
