--- a/duties/assigner.go
+++ b/duties/assigner.go
@@ -189,8 +189,8 @@
 }
 
 // Statistics returns the statistics as of the last call.
-func (a *Assigner) Statistics() Statistics {
-	return Statistics{
+func (a *Assigner) Statistics() Stats {
+	return Stats{
 		Alive:            a.view.members.size(),
 		Watchers:         a.watch.watchers,
 		WatchAssigned:    a.watch.assigned,
--- a/duties/probes.go
+++ b/duties/probes.go
@@ -49,7 +49,7 @@
 	view      *fleetView
 	decisions *decisionList
 
-	// The counters that [Statistics] describes.
+	// The counters that [Stats] describes.
 	probesSent      int64
 	reportsReceived int64
 	duplicateProbes int64
--- a/duties/statistics.go
+++ b/duties/statistics.go
@@ -1,7 +1,7 @@
 package duties
 
-// Statistics are the statistics of one proxy for operators. Counters start at zero when the process starts.
-type Statistics struct {
+// Stats are the statistics of one proxy for operators. Counters start at zero when the process starts.
+type Stats struct {
 	Alive            int   `json:"here"`     // proxies that are alive
 	Watchers         int   `json:"watchers"` // proxies with a valid watch lease, as of the last tick
 	WatchAssigned    bool  `json:"duty"`     // whether this proxy is assigned to watch discovery
--- a/internal/proxy/duties.go
+++ b/internal/proxy/duties.go
@@ -30,7 +30,7 @@
 	router      *Router
 	list        *EndpointList
 	broadcast   dutyBroadcast
-	stats       atomic.Pointer[duties.Statistics]
+	stats       atomic.Pointer[duties.Stats]
 	counters    *Counters
 	log         *zap.Logger
 	nodesStale  bool // the latest list of caches was dropped, as the mailbox was full; accessed only by the router's goroutine
@@ -42,7 +42,7 @@
 		mailbox: make(mailbox, dutiesMailboxSize), assignments: duties.New(duties.Time(router.clock.Now()), config),
 		clock: router.clock, router: router, list: list, broadcast: broadcast, counters: router.counters, log: log,
 	}
-	d.stats.Store(&duties.Statistics{})
+	d.stats.Store(&duties.Stats{})
 	router.duties, list.duties = d, d
 	return d
 }
@@ -60,7 +60,7 @@
 func (d *Duties) now() duties.Time { return duties.Time(d.clock.Now()) }
 
 // Stats returns the statistics of the duties as of the last tick.
-func (d *Duties) Stats() duties.Statistics { return *d.stats.Load() }
+func (d *Duties) Stats() duties.Stats { return *d.stats.Load() }
 
 // SetMembers sets the list of proxies. catchingUp means that the list may still be incomplete.
 func (d *Duties) SetMembers(all []duties.Proxy, catchingUp bool) {
--- a/internal/server/figures_golden_test.go
+++ b/internal/server/figures_golden_test.go
@@ -60,7 +60,7 @@
 		name  string
 		value any // a pointer to a zero value
 	}{
-		{"GET /control/turns", &duties.Statistics{}},
+		{"GET /control/turns", &duties.Stats{}},
 		{"GET /control/recovery", &recovery.Status{}},
 		{"GET /control/missing", &negativecache.Stats{}},
 		{"POST /control/moves/plan, response", &rebalance.Plan{}},
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -105,7 +105,7 @@
 	s.gauge("goroutines", "Goroutines of the process.", float64(runtime.NumGoroutine()))
 }
 
-func (s metricSink) duties(stats duties.Statistics) {
+func (s metricSink) duties(stats duties.Stats) {
 	s.gauge("turns_here", "Proxies to which duties are assigned.", float64(stats.Alive))
 	s.gauge("turns_watchers", "Proxies with a valid watch lease.", float64(stats.Watchers))
 	s.gauge("turns_kept_nodes", "Nodes to which this proxy keeps idle connections.", float64(stats.OwnedNodes))
