--- a/internal/wire/command_test.go
+++ b/internal/wire/command_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A command that arrives in parts is incomplete until its last byte. Bytes after it are not consumed.
+// A command that arrives in parts is incomplete until its last byte, and is then parsed like one that arrives at once.
+// Bytes after it are not consumed.
 func TestParseCommandIncompleteUntilLastByte(t *testing.T) {
 	for _, test := range []struct{ name, text string }{
 		{"plain command", "*1\r\n$4\r\nPING\r\n"},
@@ -16,18 +17,18 @@
 			text := test.text
 			for n := range len(text) {
 				if _, _, err := ParseCommand([]byte(text[:n])); !errors.Is(err, ErrIncomplete) {
-					t.Errorf("%q: %v", text[:n], err)
+					t.Errorf("%q: got error %v, want ErrIncomplete", text[:n], err)
 				}
 			}
 			c, n, err := ParseCommand([]byte(text + "*1\r\n"))
 			if err != nil || n != len(text) {
-				t.Errorf("%q: consumed %d bytes: %v", text, n, err)
+				t.Errorf("%q: got %d bytes consumed, error %v, want all of the bytes consumed", text, n, err)
 			}
 			if c.Is("KV.GET") && (string(c.Key) != "k1" || string(c.ID) != "id1" || c.ValueLength != -1) {
-				t.Errorf("%q: %+v", text, c)
+				t.Errorf("%q: got %+v, want key k1, ID id1 and value length -1", text, c)
 			}
 			if c.Is("KV.SET") && (string(c.Facts) != "c=put,d=480" || c.ValueLength != 65536) {
-				t.Errorf("%q: %+v", text, c)
+				t.Errorf("%q: got %+v, want facts c=put,d=480 and value length 65536", text, c)
 			}
 		})
 	}
@@ -53,10 +54,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, n, err := ParseCommand([]byte(test.text))
 			if !errors.Is(err, ErrProtocol) {
-				t.Errorf("%q: %v", test.text, err)
+				t.Errorf("%q: got error %v, want a protocol error", test.text, err)
 			}
 			if n != 0 {
-				t.Errorf("%q: consumed %d bytes, want 0", test.text, n)
+				t.Errorf("%q: got %d bytes consumed, want 0", test.text, n)
 			}
 		})
 	}
--- a/internal/wire/endpointlist_test.go
+++ b/internal/wire/endpointlist_test.go
@@ -16,7 +16,7 @@
 	}
 	if list := read.Endpoints; read.Index != 41 || !read.Complete || len(list) != 2 || list[1].Ready ||
 		list[0] != (Endpoint{Name: "c1", Address: "h:1", Zone: "a", Kind: "m2", Cell: 3, Ready: true, Weight: 1.5, StartedAtUnixMilli: 7}) {
-		t.Errorf("%+v", read)
+		t.Errorf("got %+v, want a complete list with index 41 and the two endpoints", read)
 	}
 	for _, test := range []struct{ name, text string }{
 		{"not an object", `[]`},
@@ -33,7 +33,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := parse(test.text); !errors.Is(err, ErrProtocol) {
-				t.Errorf("%s: %v", test.text, err)
+				t.Errorf("%s: got error %v, want a protocol error", test.text, err)
 			}
 		})
 	}
--- a/internal/wire/facts_test.go
+++ b/internal/wire/facts_test.go
@@ -10,13 +10,13 @@
 	const list = "c=put,t=acme,d=480,size=9,k=5c0f,r=1"
 	f, err := ParseFacts([]byte(list))
 	if err != nil || string(f.Route) != "put" || string(f.Tenant) != "acme" || f.WaitMilliseconds != 480 || !f.Retry {
-		t.Errorf("got %+v, error %v", f, err)
+		t.Errorf("got %+v, error %v, want route put, tenant acme, a wait of 480 ms and a retry", f, err)
 	}
 	if got := string(AppendFacts(nil, []byte(list), 77)); got != "c=put,t=acme,d=77,size=9,k=5c0f,r=1" {
 		t.Error(got)
 	}
 	if f, err := ParseFacts([]byte("d=12.75,c=x")); err != nil || f.WaitMilliseconds != 12 {
-		t.Errorf("got %+v, error %v", f, err)
+		t.Errorf("got %+v, error %v, want a wait of 12 ms", f, err)
 	}
 	for _, test := range []struct{ name, list string }{
 		{"empty list", ""},
@@ -29,7 +29,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := ParseFacts([]byte(test.list)); !errors.Is(err, ErrProtocol) {
-				t.Errorf("%q: %v", test.list, err)
+				t.Errorf("%q: got error %v, want a protocol error", test.list, err)
 			}
 		})
 	}
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -12,18 +12,18 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c, n, err := ParseCommand([]byte(text))
 		if err == nil && (n < 1 || n > len(text)) {
-			t.Errorf("%q: consumed %d bytes", text, n)
+			t.Errorf("%q: got %d bytes consumed, want at least 1 and at most all", text, n)
 		}
 		if err == nil && c.Is("KV.GET") {
 			forwarded := AppendCommand(nil, c.Name, c.Key, c.ID, c.Facts, -1)
 			parsed, _, err := ParseCommand(forwarded)
 			if err != nil || string(parsed.Facts) != string(c.Facts) || string(parsed.Key) != string(c.Key) {
-				t.Errorf("%q: forwarded as %q", text, forwarded)
+				t.Errorf("%q: got an error, another key or other facts from the forwarded %q, want the same", text, forwarded)
 			}
 		}
 		if _, err := ParseFacts(c.Facts); err == nil {
 			if _, err := ParseFacts(AppendFacts(nil, c.Facts, 7)); err != nil {
-				t.Errorf("%q: parsing the forwarded facts: %v", c.Facts, err)
+				t.Errorf("%q: got error %v from the forwarded facts, want none", c.Facts, err)
 			}
 		}
 		_, _, _, _ = readAnyResponse(text) // any outcome is valid; the call must only return
--- a/internal/wire/response_test.go
+++ b/internal/wire/response_test.go
@@ -64,7 +64,8 @@
 			outcome, value, reusable, err := readAnyResponse(test.text)
 			if err != nil || outcome != test.outcome || outcome == balancer.Completed && string(value) != test.value ||
 				reusable != test.reusable {
-				t.Errorf("%q: got outcome %d, value %q, reusable %v, error %v", test.text, outcome, value, reusable, err)
+				t.Errorf("%q: got outcome %d, value %q, reusable %v, error %v, want the result of the test case",
+					test.text, outcome, value, reusable, err)
 			}
 			checkTruncated(t, test.text)
 		})
@@ -83,7 +84,7 @@
 		var attemptError *AttemptError
 		if !errors.As(err, &attemptError) || !attemptError.MayHaveRun() || (n == 0) != (attemptError.Progress == Waiting) ||
 			errors.Is(err, ErrProtocol) {
-			t.Errorf("%q: got error %v", text[:n], err)
+			t.Errorf("%q: got error %v, want an AttemptError in the stage Waiting or Reading", text[:n], err)
 		}
 	}
 }
@@ -118,7 +119,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			outcome, value, _, err := readAnyResponse(test.text)
 			if outcome != balancer.Completed || string(value) != long || err != nil {
-				t.Errorf("%.40q: got outcome %d, %d bytes, error %v", test.text, outcome, len(value), err)
+				t.Errorf("%.40q: got outcome %d, %d bytes, error %v, want the complete value", test.text, outcome, len(value), err)
 			}
 		})
 	}
--- a/internal/wire/watch_test.go
+++ b/internal/wire/watch_test.go
@@ -60,10 +60,10 @@
 	w := openWatchOfChunk(t, object+"\n\n"+`{"index":42}`+"\n")
 	checkWatch(t, w, object, "", `{"index":42}`)
 	if line, err := w.Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("after the last object: got %q, error %v", line, err)
+		t.Errorf("after the last object: got %q, error %v, want io.ErrUnexpectedEOF", line, err)
 	}
 	if line, err := nextObject(openWatchOfChunk(t, "{\n\"index\":\n\n")); !errors.Is(err, ErrProtocol) {
-		t.Errorf("%q: %v", line, err)
+		t.Errorf("got %q, error %v, want a protocol error", line, err)
 	}
 }
 
