--- a/internal/emulator/work_queue.go
+++ b/internal/emulator/work_queue.go
@@ -88,7 +88,7 @@
 func hashedFloat(words ...string) float64 {
 	h := fnv.New64a()
 	for _, w := range words {
-		_, _ = h.Write([]byte(w + "\x00")) // hash.Hash never returns an error
+		_, _ = h.Write([]byte(w + "\x00")) // Write of a hash.Hash never returns an error
 	}
 	return rand.New(rand.NewPCG(h.Sum64(), 1)).Float64()
 }
--- a/internal/emulator/zone_faults.go
+++ b/internal/emulator/zone_faults.go
@@ -29,7 +29,7 @@
 	At, Duration                  time.Duration // start, since the start of the event log, and duration
 	FirstEvacuated, LastEvacuated time.Duration // until the first and last proxy outside the zone evacuated it; 0: none did
 	NeverEvacuated                int           // number of proxies outside the zone that did not evacuate it during the fault
-	Returned                      time.Duration // from the end of the fault until proxies served all keys there; 0: not observed
+	Returned                      time.Duration // from the fault's end until the last proxy served all keys there; 0: not seen
 	EarnedWeightDuring            float64       // fraction of the priority weight earned in the first 5 s of the fault
 	EarnedWeightAfter             float64       // the same fraction in the 10 s after the end of the fault
 }
